--- a/bench/quota_bench.cpp
+++ b/bench/quota_bench.cpp
@@ -21,7 +21,7 @@
 QuotaShape shapeOf(std::int64_t leaves) {
   QuotaShape shape;
   shape.spansMs = {2000, 60000, 3600000};
-  shape.mostAwake = 100000;
+  shape.maxActiveWindows = 100000;
   const auto add = [&](int parent) {
     QuotaShape::Node node{"", parent, {}};
     for (std::size_t w = 0; w < 3; ++w) {
@@ -53,12 +53,12 @@
   for (auto _ : state) {
     nowMs += 0.05;  // 20,000 a second
     const int leaf = senders[++at % senders.size()];
-    if (tree.refuses(leaf, one, nowMs))
+    if (tree.rejects(leaf, one, nowMs))
       ++refused;
     else
       tree.charge(leaf, one, nowMs);
   }
-  state.counters["windows"] = static_cast<double>(tree.awake());
+  state.counters["windows"] = static_cast<double>(tree.activeWindows());
   state.counters["refused"] = static_cast<double>(refused);
   state.counters["window_bytes"] = QuotaTree::kWindowBytes;
 }
--- a/src/audit/rules_version.cpp
+++ b/src/audit/rules_version.cpp
@@ -55,7 +55,7 @@
             [](const auto& left, const auto& right) { return left.className < right.className; });
   for (const auto& [name, state] : classes) bytes += bytesOf(name, state);
   const QuotaPlan& q = file.quota;
-  bytes += bytesOf(q.windowsS, q.header, q.mostAwake);
+  bytes += bytesOf(q.windowsS, q.header, q.maxActiveWindows);
   std::vector<std::string> nodes;
   for (const QuotaPlan::Node& n : q.nodes)
     nodes.push_back(bytesOf(n.name, n.parent, n.tenant, n.unit, n.rest, n.messages, n.calls, n.worth));
--- a/src/config/quota_section.cpp
+++ b/src/config/quota_section.cpp
@@ -96,7 +96,7 @@
     if (plan.windowsS[i] <= plan.windowsS[i - 1])
       reader.reject("windows_s", "expected each longer than the last");
   plan.header = reader.text("header").value_or("");
-  plan.mostAwake = reader.integer("most_awake", 16, 10'000'000).value_or(plan.mostAwake);
+  plan.maxActiveWindows = reader.integer("most_awake", 16, 10'000'000).value_or(plan.maxActiveWindows);
   NodeReader nodes(plan);
   reader.sectionList("node", [&](SectionReader& node) { nodes.read(node); });
 }
--- a/src/config/settings_section.cpp
+++ b/src/config/settings_section.cpp
@@ -156,7 +156,7 @@
   if (!settings || settings->type != Value::Type::kObject) rejectKey("settings", "missing, or not an object");
   checkClasses(*settings);
   config.settings = decodeSettings(root, *settings);
-  config.settings.reusesConnections = false;  // see outbound/outbound.h
+  config.settings.reusesConnections = false;  // see outbound/upstream_client.h
   checkSettings(config.settings);
   config.classes = namesOf(*settings, "classes");
   config.tenants = namesOf(*settings, "tenants");
--- a/src/exchange/call_tracker.cpp
+++ b/src/exchange/call_tracker.cpp
@@ -11,12 +11,12 @@
 }
 
 bool statesRetryAfter(const CallOutcome& outcome) {
-  return outcome.outcome != Outcome::kNotSent && outcome.detail > 0;
+  return outcome.outcome != Outcome::kNotSent && outcome.retryAfterMs > 0;
 }
 
 }  // namespace
 
-bool CallTracker::mayLeave(const Departure& call) {
+bool CallTracker::maySend(const OutgoingCall& call) {
   const EndpointRecord* const endpoint = parts_.endpoints.find(call.uid);
   for (const CallItem& item : call.items) {
     const std::optional<Violation> violation = violationOf(call, item.id, endpoint);
@@ -26,12 +26,12 @@
   }
   for (const CallItem& item : call.items) {
     parts_.requests.at(item.id).callInFlight = call.number;
-    parts_.trace.departed(item.id, call.uid, call.number, item.answerByMs - parts_.loop.nowMs());
+    parts_.trace.departed(item.id, call.uid, call.number, item.answerDeadlineMs - parts_.loop.nowMs());
   }
   return true;
 }
 
-std::optional<Violation> CallTracker::violationOf(const Departure& call, const std::string& id,
+std::optional<Violation> CallTracker::violationOf(const OutgoingCall& call, const std::string& id,
                                                   const EndpointRecord* endpoint) {
   const OpenRequest* const request = parts_.requests.find(id);
   if (request == nullptr) return Violation::kAfterCompletion;
@@ -57,18 +57,18 @@
   const bool isTooLate = outcome.arrivedMs > request.deadlineMs - kDeadlineMarginMs;
   if (outcome.outcome == Outcome::kSuccess && isTooLate) {
     outcome.outcome = Outcome::kTimeout;
-    outcome.ended = false;
+    outcome.completed = false;
   }
   request.callInFlight = 0;
   parts_.trace.outcome(outcome.id, endpoint,
-                       Counters::kOutcomeNames.at(static_cast<std::size_t>(outcome.outcome)), outcome.detail,
-                       outcome.parted);
+                       Counters::kOutcomeNames.at(static_cast<std::size_t>(outcome.outcome)),
+                       outcome.retryAfterMs, outcome.halfClosed);
   parts_.scheduler.push(OutcomeEvent{outcome.id, request.pending.attempts - 1, endpoint, outcome.outcome,
-                                     outcome.ended, outcome.detail, report});
+                                     outcome.completed, outcome.retryAfterMs, report});
   const EndpointRecord* const record = statesRetryAfter(outcome) ? parts_.endpoints.find(endpoint) : nullptr;
   if (record != nullptr)
-    parts_.guard.onRetryAfter(*record, parts_.loop.nowMs(), static_cast<double>(outcome.detail));
-  if (outcome.ended) {
+    parts_.guard.onRetryAfter(*record, parts_.loop.nowMs(), static_cast<double>(outcome.retryAfterMs));
+  if (outcome.completed) {
     ++(outcome.outcome == Outcome::kSuccess ? parts_.counters.delivered : parts_.counters.expired);
     parts_.completions.close(outcome.id);
   } else if (isKnownNotExecuted(outcome.outcome)) {
--- a/src/exchange/call_tracker.h
+++ b/src/exchange/call_tracker.h
@@ -30,8 +30,8 @@
   };
   explicit CallTracker(const Parts& parts) : parts_(parts) {}
 
-  // As CallListener::mayLeave: false where one of its requests would break a rule.
-  bool mayLeave(const Departure& call);
+  // As CallListener::maySend: false where one of its requests would break a rule.
+  bool maySend(const OutgoingCall& call);
   // As CallListener::onOutcomes. If the endpoint stated a Retry-After, calls to it that have not left are
   // withdrawn.
   void onOutcomes(const std::string& endpoint, const std::vector<CallOutcome>& outcomes,
@@ -39,7 +39,7 @@
 
  private:
   // The rule that the call would break with that request; none: it may leave.
-  std::optional<Violation> violationOf(const Departure& call, const std::string& id,
+  std::optional<Violation> violationOf(const OutgoingCall& call, const std::string& id,
                                        const EndpointRecord* endpoint);
   void onOutcome(const std::string& endpoint, CallOutcome outcome, const LoadReport& report);
   // For `endpoint` and for those that share its limit, as the module may not have known when it decided.
--- a/src/exchange/completions.h
+++ b/src/exchange/completions.h
@@ -17,7 +17,7 @@
 #include "exchange/journaled_sends.h"
 #include "exchange/rule_guard.h"
 #include "log/request_trace.h"
-#include "notices/notices.h"
+#include "notices/notification_sender.h"
 
 namespace myrtleloft {
 
@@ -26,7 +26,7 @@
   struct Parts {
     Loop& loop;
     Journal& journal;
-    Notices& notifications;
+    NotificationSender& notifications;
     Counters& counters;
     RequestTable& requests;
     const QuotaCharges& quotas;
--- a/src/exchange/durability_queue.cpp
+++ b/src/exchange/durability_queue.cpp
@@ -33,7 +33,7 @@
   double soonestMs = std::numeric_limits<double>::infinity();
   for (const Batch& batch : waiting_)
     for (const PlannedCall& call : batch.calls)
-      for (const CallItem& item : call.items) soonestMs = std::min(soonestMs, item.answerByMs);
+      for (const CallItem& item : call.items) soonestMs = std::min(soonestMs, item.answerDeadlineMs);
   if (soonestMs == std::numeric_limits<double>::infinity()) return;
   expiryTimer_ = parts_.loop.after(soonestMs - parts_.loop.nowMs(), [this] { expireCalls(); });
 }
@@ -41,7 +41,7 @@
 void DurabilityQueue::expireCalls() {
   expiryTimer_ = Loop::kNoTimer;
   const double nowMs = parts_.loop.nowMs();
-  reportUnsent([nowMs](const PlannedCall&, const CallItem& item) { return item.answerByMs <= nowMs; });
+  reportUnsent([nowMs](const PlannedCall&, const CallItem& item) { return item.answerDeadlineMs <= nowMs; });
   armExpiry();
 }
 
@@ -61,12 +61,12 @@
   for (CallItem& item : call.items) {
     const OpenRequest* const request = parts_.requests.find(item.id);
     const bool isUndecided = request != nullptr && request->isUndecided();
-    if (isUndecided) item.leaveByMs = sendDeadlineMs(*request);
+    if (isUndecided) item.sendDeadlineMs = sendDeadlineMs(*request);
     // While it waited for the disk the request may have completed, its time or its idempotency window may
     // have passed, or the endpoint may have gone or begun to drain. The time to connect counts: at the
     // window's end the call would only be withdrawn.
     const bool hasTime =
-        nowMs < item.answerByMs && nowMs + parts_.settings.connectTimeoutMs <= item.leaveByMs;
+        nowMs < item.answerDeadlineMs && nowMs + parts_.settings.connectTimeoutMs <= item.sendDeadlineMs;
     if (isUndecided && isRunning && hasTime) {
       items.push_back(std::move(item));
     } else {
@@ -107,7 +107,7 @@
 
 void DurabilityQueue::withdrawCalls(const EndpointPredicate& affected) {
   reportUnsent([&](const PlannedCall& call, const CallItem&) { return affected(call.endpoint); });
-  parts_.outbound.recall(affected);
+  parts_.outbound.cancelUnsent(affected);
 }
 
 void DurabilityQueue::rejectWaiting() {
--- a/src/exchange/durability_queue.h
+++ b/src/exchange/durability_queue.h
@@ -32,7 +32,7 @@
     const Settings& settings;
     const EndpointTable& endpoints;
     Journal& journal;
-    Outbound& outbound;
+    UpstreamClient& outbound;
     Counters& counters;
     RequestTable& requests;
     const QuotaCharges& quotas;
--- a/src/exchange/journaled_sends.cpp
+++ b/src/exchange/journaled_sends.cpp
@@ -65,7 +65,7 @@
     if (request.pending.ambiguousAttempts.empty()) request.firstAmbiguousMs = decidedMs;
     if (!parts_.journal.recordAttempt(request.pending, attempt)) {
       ++parts_.counters.journalFaults;
-      putOff({item.id, call.endpoint, attempt.zone, parts_.loop.nowMs() + item.capMs});
+      putOff({item.id, call.endpoint, attempt.zone, parts_.loop.nowMs() + item.timeoutMs});
       continue;
     }
     parts_.quotas.chargeCall(request.charge);
--- a/src/exchange/journaled_sends.h
+++ b/src/exchange/journaled_sends.h
@@ -20,7 +20,7 @@
 #include "exchange/unsent_attempts.h"
 #include "log/request_trace.h"
 #include "net/loop.h"
-#include "outbound/outbound.h"
+#include "outbound/upstream_client.h"
 
 namespace myrtleloft {
 
--- a/src/exchange/quota_charges.h
+++ b/src/exchange/quota_charges.h
@@ -4,14 +4,14 @@
 //   if (const auto retryAfterMs = quotas.rejects(charge, classIndex)) ...   // nothing was charged
 //   quotas.chargeRequest(charge, classIndex);
 //
-// Without quotas each function does nothing. One thread; costs as QuotaDoor.
+// Without quotas each function does nothing. One thread; costs as QuotaAdmission.
 #pragma once
 
 #include <optional>
 #include <string_view>
 
 #include "net/loop.h"
-#include "quota/quota_door.h"
+#include "quota/quota_admission.h"
 
 namespace myrtleloft {
 
@@ -20,15 +20,15 @@
   friend class QuotaCharges;
   static constexpr double kNotCharged = -1;
 
-  int node_ = QuotaDoor::kNoQuota;  // that it is charged to
-  double requestMs_ = 0;            // when the request was charged
-  double callMs_ = kNotCharged;     // when its latest call was, while that may be refunded
+  int node_ = QuotaAdmission::kNoQuota;  // that it is charged to
+  double requestMs_ = 0;                 // when the request was charged
+  double callMs_ = kNotCharged;          // when its latest call was, while that may be refunded
 };
 
 class QuotaCharges {
  public:
   // Both must outlive it; without `quotas` there are no limits.
-  QuotaCharges(const Loop& loop, QuotaDoor* quotas) : loop_(loop), quotas_(quotas) {}
+  QuotaCharges(const Loop& loop, QuotaAdmission* quotas) : loop_(loop), quotas_(quotas) {}
 
   // Nothing is charged yet, but it is known to which node it will be. `unit` may be empty.
   QuotaCharge chargeFor(int tenant, std::string_view unit) const;
@@ -45,7 +45,7 @@
 
  private:
   const Loop& loop_;
-  QuotaDoor* quotas_;
+  QuotaAdmission* quotas_;
 };
 
 }  // namespace myrtleloft
--- a/src/exchange/request_manager.cpp
+++ b/src/exchange/request_manager.cpp
@@ -49,7 +49,7 @@
 
 void RequestManager::onList(EndpointListEvent event) {
   scheduler_.push(std::move(event));
-  parts_.outbound.reconsider(parts_.directory.endpoints());
+  parts_.outbound.onEndpointsChanged(parts_.directory.endpoints());
 }
 
 void RequestManager::onRequest(IncomingRequest request, AnswerCallback answer) {
--- a/src/exchange/request_manager.h
+++ b/src/exchange/request_manager.h
@@ -14,7 +14,7 @@
 // rejected, or the platform has confirmed its notification.
 //
 //   RequestManager manager({loop, directory, journal, notifications, outbound, counters}, settings);
-//   outbound.listen(manager);
+//   outbound.setListener(manager);
 //   notifications.onConfirmed([&](const std::string& id) { manager.onConfirmed(id); });
 //   manager.recover(std::move(found), directory.begin(known, writtenWallMs));
 //
@@ -38,10 +38,10 @@
     Loop& loop;
     EndpointDirectory& directory;
     Journal& journal;
-    Notices& notifications;
-    Outbound& outbound;
+    NotificationSender& notifications;
+    UpstreamClient& outbound;
     Counters& counters;
-    QuotaDoor* quotas = nullptr;  // none: no limits but the module's
+    QuotaAdmission* quotas = nullptr;  // none: no limits but the module's
     // For what the guard reports, and what became of each request; none: standard error.
     std::optional<Log> log = std::nullopt;
   };
@@ -78,7 +78,7 @@
   void onRequest(IncomingRequest request, AnswerCallback answer) override;
   void onClientDisconnect(const std::string& id) override;
   void onUnsolicited(const std::string& uid) override;
-  bool mayLeave(const Departure& call) override { return calls_.mayLeave(call); }
+  bool maySend(const OutgoingCall& call) override { return calls_.maySend(call); }
   void onOutcomes(const std::string& uid, const std::vector<CallOutcome>& outcomes,
                   const LoadReport& report) override {
     calls_.onOutcomes(uid, outcomes, report);
--- a/src/exchange/request_recovery.h
+++ b/src/exchange/request_recovery.h
@@ -18,7 +18,7 @@
     const Settings& settings;
     const EndpointDirectory& directory;
     Journal& journal;
-    Notices& notifications;
+    NotificationSender& notifications;
     Counters& counters;
     RequestTable& requests;
     const QuotaCharges& quotas;
--- a/src/fleet/link.cpp
+++ b/src/fleet/link.cpp
@@ -72,7 +72,7 @@
 
 void Link::close() {
   if (!fd_) return;
-  loop_.forget(fd_.get());
+  loop_.unwatch(fd_.get());
   fd_.reset();
   phase_ = Phase::kClosed;
   for (int i = 0; i < 2; ++i) lanes_[i].clear(), bytes_[i] = outBytes_[i] = 0;
--- a/src/fleet/links.cpp
+++ b/src/fleet/links.cpp
@@ -24,7 +24,7 @@
 Links::~Links() {
   parts_.loop.cancel(tickTimer_);
   parts_.loop.cancel(overTimer_);
-  if (listener_) parts_.loop.forget(listener_.get());
+  if (listener_) parts_.loop.unwatch(listener_.get());
 }
 
 bool Links::open(std::string& error) {
--- a/src/inbound/inbound.cpp
+++ b/src/inbound/http_server.cpp
@@ -1,4 +1,4 @@
-#include "inbound/inbound.h"
+#include "inbound/http_server.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-Inbound::Inbound(Loop& loop, RequestSink& sink, Counters& counters, InboundNames names,
-                 std::size_t mostConnections, std::size_t mostBytes, const RequestTrace* trace)
+HttpServer::HttpServer(Loop& loop, RequestSink& sink, Counters& counters, RequestNames names,
+                       std::size_t mostConnections, std::size_t mostBytes, const RequestTrace* trace)
     : loop_(loop),
       sink_(sink),
       counters_(counters),
@@ -28,7 +28,7 @@
       mostBytes_(mostBytes),
       trace_(trace) {}
 
-Inbound::~Inbound() {
+HttpServer::~HttpServer() {
   loop_.cancel(sweepTimer_);
   loop_.cancel(acceptTimer_);
   while (!connections_.empty()) {
@@ -40,10 +40,10 @@
       endSending(at->first, CloseReason::kProcessEnds);
     drop(at->first, CloseReason::kProcessEnds);
   }
-  if (listener_) loop_.forget(listener_.get());
+  if (listener_) loop_.unwatch(listener_.get());
 }
 
-bool Inbound::open(const Address& address, std::string& error, int* number) {
+bool HttpServer::open(const Address& address, std::string& error, int* number) {
   listener_ = listenOn(address, error, number);
   if (!listener_) return false;
   loop_.watch(listener_.get(), POLLIN, [this](short) { onAccept(); });
@@ -51,10 +51,10 @@
   return true;
 }
 
-void Inbound::onAccept() {
+void HttpServer::onAccept() {
   for (int i = 0; i < kAcceptsAtOnce; ++i) {
     if (connections_.size() >= mostConnections_) {
-      if (!hasArrival(listener_)) return;  // nobody has to go where nobody comes
+      if (!hasPendingConnection(listener_)) return;  // nobody has to go where nobody comes
       makeRoom();
     }
     int error = 0;
@@ -81,13 +81,13 @@
   }
 }
 
-ArrivalTimes::Look Inbound::look(const Fd& fd) const {
+ArrivalTimes::Look HttpServer::look(const Fd& fd) const {
   const double nowMs = loop_.nowMs();  // before the age
   const std::optional<double> ageMs = lastArrivalAgeMs(fd);
   return {nowMs, ageMs ? loop_.quietAtMs(fd.get()) : loop_.likelyQuietAtMs(fd.get()), ageMs};
 }
 
-Inbound::Stage Inbound::Connection::stage() const {
+HttpServer::Stage HttpServer::Connection::stage() const {
   if (lingering) return Stage::kLingering;
   if (!waiting.empty()) return Stage::kAsked;
   if (!out.empty()) return Stage::kAnswering;
@@ -100,7 +100,7 @@
 // half of all were lost on a day on which hundreds had asked once and stayed. Only where hundreds say nothing
 // do they have to go as well. None with an open request is closed, nor one whose request has come and was not
 // read yet.
-void Inbound::makeRoom() {
+void HttpServer::makeRoom() {
   std::optional<Number> which;
   std::pair<int, double> least;
   const double now = loop_.nowMs();
@@ -122,25 +122,25 @@
 
 // What came since a last answer is taken off first: closed over unread bytes, the connection would be reset,
 // and the answer with it. Of one that rests it is left: the reset tells its client that it was not read.
-void Inbound::drop(Number number, CloseReason reason) {
+void HttpServer::drop(Number number, CloseReason reason) {
   const auto at = connections_.find(number);
   Connection& c = at->second;
   ++counters_.closes.at(static_cast<std::size_t>(reason));
   if (!c.waiting.empty() && !byClient(reason)) ++counters_.closedUnanswered;
   if (trace_) trace_->closed(number, nameOf(reason), c.waiting);
   if (c.lingering) discardInput(c.fd, kLingerBytes);
-  loop_.forget(c.fd.get());
+  loop_.unwatch(c.fd.get());
   held_ -= c.held;
   connections_.erase(at);
 }
 
-void Inbound::retire() {
-  retiring_ = true;
+void HttpServer::drain() {
+  draining_ = true;
   for (auto& [number, c] : connections_)
     if (c.stage() == Stage::kIdle && c.rests()) endSending(number, CloseReason::kAnswered);
 }
 
-void Inbound::sweep() {
+void HttpServer::sweep() {
   const double now = loop_.nowMs();
   std::vector<Number> old;
   std::vector<std::pair<double, Number>> idle;
--- a/src/inbound/inbound.h
+++ b/src/inbound/http_server.h
@@ -20,13 +20,13 @@
 
 namespace myrtleloft {
 
-class Inbound {
+class HttpServer {
  public:
   // `mostBytes`: what all requests together may hold that are not read to their end, or not yet answered. One
   // that would pass it is refused with when to come back. `trace`, if any, outlives it.
-  Inbound(Loop& loop, RequestSink& sink, Counters& counters, InboundNames names, std::size_t mostConnections,
-          std::size_t mostBytes, const RequestTrace* trace = nullptr);
-  ~Inbound();
+  HttpServer(Loop& loop, RequestSink& sink, Counters& counters, RequestNames names,
+             std::size_t mostConnections, std::size_t mostBytes, const RequestTrace* trace = nullptr);
+  ~HttpServer();
 
   // false: `error` says why, and `number`, where it is given, is the errno.
   bool open(const Address& address, std::string& error, int* number = nullptr);
@@ -34,7 +34,7 @@
   void setReady(bool ready) { ready_ = ready; }  // what GET /up says
   // From now on connections are closed between requests: those that rest at once, each other one after the
   // last request that was read from it. One that was opened and has not asked yet is waited for.
-  void retire();
+  void drain();
   std::size_t connections() const { return connections_.size(); }
 
  private:
@@ -96,11 +96,11 @@
   Loop& loop_;
   RequestSink& sink_;
   Counters& counters_;
-  InboundNames names_;
+  RequestNames names_;
   std::size_t mostConnections_, mostBytes_, held_ = 0;
   const RequestTrace* trace_;
   Fd listener_;
-  bool ready_ = false, retiring_ = false;
+  bool ready_ = false, draining_ = false;
   std::map<Number, Connection> connections_;
   Number lastNumber_ = 0;
   Loop::Timer sweepTimer_ = Loop::kNoTimer;
--- a/src/inbound/inbound_serving.cpp
+++ b/src/inbound/http_server_connections.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <utility>
 
-#include "inbound/inbound.h"
+#include "inbound/http_server.h"
 
 namespace myrtleloft {
 namespace {
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void Inbound::onEvents(Number number, short revents) {
+void HttpServer::onEvents(Number number, short revents) {
   if (!connections_.count(number)) return;
   if (revents & POLLERR) return onReset(number);
   if (revents & POLLOUT) flush(number);
@@ -24,7 +24,7 @@
   if (connections_.count(number)) weigh(number);
 }
 
-void Inbound::weigh(Number number) {
+void HttpServer::weigh(Number number) {
   Connection& c = connections_.at(number);
   // While a request waits for its answer, whoever has it holds what was read of it.
   const std::size_t read = c.reader.held() + (c.unsure ? c.unsure->body.capacity() : 0);
@@ -36,7 +36,7 @@
   refuse(number, 503, {{"Retry-After", kFullComeBackS}});
 }
 
-void Inbound::readAndServe(Number number) {
+void HttpServer::readAndServe(Number number) {
   Connection& c = connections_.at(number);
   const bool begins = c.stage() == Stage::kIdle;
   c.arrivals.beforeRead(look(c.fd));
@@ -60,7 +60,7 @@
 }
 
 // Its request waits for its answer. One more behind it is not read any further until then.
-void Inbound::onInputWhileAsked(Number number) {
+void HttpServer::onInputWhileAsked(Number number) {
   Connection& c = connections_.at(number);
   const Behind more = behind(c.reader.buffer());
   if (more == Behind::kRequest) return loop_.setEvents(c.fd.get(), 0);
@@ -71,7 +71,7 @@
   refuse(number, 400);  // see onMessage
 }
 
-void Inbound::onHalfClose(Number number) {
+void HttpServer::onHalfClose(Number number) {
   Connection& c = connections_.at(number);
   if (c.lingering) return drop(number, c.why);
   c.halfClosed = true;
@@ -82,7 +82,7 @@
   drop(number, CloseReason::kClientEnded);
 }
 
-void Inbound::onReset(Number number) {
+void HttpServer::onReset(Number number) {
   const Connection& c = connections_.at(number);
   if (!c.waiting.empty()) {
     ++counters_.hangUps;
@@ -94,7 +94,7 @@
 }
 
 // Answers one request after the other; while one waits for its answer, the next stays unread.
-void Inbound::serve(Number number) {
+void HttpServer::serve(Number number) {
   for (;;) {
     const auto at = connections_.find(number);
     if (at == connections_.end()) return;
@@ -119,7 +119,7 @@
   }
 }
 
-void Inbound::onMessage(Number number, HttpMessage message) {
+void HttpServer::onMessage(Number number, HttpMessage message) {
   Connection& c = connections_.at(number);
   c.keepAlive = message.keepAlive;
   const std::string_view part = firstPart(message.target);
@@ -156,7 +156,7 @@
   offer(number, std::move(*request));
 }
 
-void Inbound::offer(Number number, IncomingRequest request) {
+void HttpServer::offer(Number number, IncomingRequest request) {
   Connection& c = connections_.at(number);
   ++counters_.requests;
   const double unreadMs = loop_.nowMs() - request.arrivedMs;
@@ -169,7 +169,7 @@
   sink_.onRequest(std::move(request), [this, number](const Answer& answer) { onAnswer(number, answer); });
 }
 
-void Inbound::onAnswer(Number number, const Answer& answer) {
+void HttpServer::onAnswer(Number number, const Answer& answer) {
   const auto at = connections_.find(number);
   if (at == connections_.end()) return;
   at->second.waiting.clear();
@@ -194,7 +194,7 @@
 
 // What cannot be used, and nothing more of its connection: where the next message would begin is not to be
 // trusted.
-void Inbound::refuse(Number number, int status, const Headers& headers) {
+void HttpServer::refuse(Number number, int status, const Headers& headers) {
   if (status < 500) ++counters_.malformed;
   Connection& c = connections_.at(number);
   c.keepAlive = false;
@@ -202,16 +202,16 @@
   reply(number, status, headers);
 }
 
-void Inbound::reply(Number number, int status, const Headers& headers, std::string_view body) {
+void HttpServer::reply(Number number, int status, const Headers& headers, std::string_view body) {
   Connection& c = connections_.at(number);
   // The last answer is that to the last request that was read whole: its client cannot know that it was.
-  const bool last = retiring_ || c.halfClosed;
+  const bool last = draining_ || c.halfClosed;
   if (last && c.keepAlive) c.keepAlive = c.reader.advance() == HttpReader::State::kDone;
   c.out = writeAnswer(status, headers, body, c.keepAlive);
   flush(number);
 }
 
-void Inbound::flush(Number number) {
+void HttpServer::flush(Number number) {
   Connection& c = connections_.at(number);
   const Io io = writeSome(c.fd, c.out, c.written);
   if (io == Io::kFailed) return drop(number, CloseReason::kWriteFailed);
@@ -234,7 +234,7 @@
 // Closing while the client still sends, or in the instant in which it sends, would reset the connection and
 // an answer just written with it: the sending side ends, and what still comes is read and dropped for a
 // moment.
-void Inbound::endSending(Number number, CloseReason why) {
+void HttpServer::endSending(Number number, CloseReason why) {
   Connection& c = connections_.at(number);
   c.lingering = true;
   c.why = why;
--- a/src/inbound/read_request.cpp
+++ b/src/inbound/read_request.cpp
@@ -79,7 +79,7 @@
   return static_cast<int>(at - names.begin());
 }
 
-std::optional<IncomingRequest> readRequest(const HttpMessage& message, const InboundNames& names) {
+std::optional<IncomingRequest> readRequest(const HttpMessage& message, const RequestNames& names) {
   IncomingRequest request;
   const auto cls = positionOf(names.classes, firstPart(message.target));
   const auto to = destination(text(message, "X-Addressing"));
--- a/src/inbound/read_request.h
+++ b/src/inbound/read_request.h
@@ -11,13 +11,13 @@
 
 namespace myrtleloft {
 
-struct InboundNames {
+struct RequestNames {
   std::vector<std::string> classes, tenants;
   std::string unitHeader{};  // that names a unit of the tenant; empty: none does
 };
 
 // A request as HTTP carries it; nothing where it is unusable.
-std::optional<IncomingRequest> readRequest(const HttpMessage& message, const InboundNames& names);
+std::optional<IncomingRequest> readRequest(const HttpMessage& message, const RequestNames& names);
 
 // What stands behind a whole request among the bytes of its connection.
 enum class Behind {
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -26,19 +26,19 @@
   if (fd_) loop_.watch(fd_.get(), POLLOUT, [this](short revents) { onEvents(revents); });
 }
 
-void ClientConnection::send(std::string bytes, Done done, Gate mayLeave) {
+void ClientConnection::send(std::string bytes, Done done, Gate maySend) {
   out_ = std::move(bytes);
   written_ = 0;
   writeFailed_ = false;
   done_ = std::move(done);
-  mayLeave_ = std::move(mayLeave);
+  mayLeave_ = std::move(maySend);
   loop_.setEvents(fd_.get(), POLLIN | POLLOUT);
 }
 
 void ClientConnection::close() {
   if (!fd_) return;
   loop_.cancel(restTimer_);
-  loop_.forget(fd_.get());
+  loop_.unwatch(fd_.get());
   fd_.reset();
   done_ = nullptr;
   mayLeave_ = nullptr;
@@ -65,7 +65,7 @@
   // An answer that lies unread may state a wait, and a list that the endpoint drains.
   if (loop_.pollIsOld() && ++putOffTurns_ <= kMaxPutOffTurns) return;
   putOffTurns_ = 0;
-  if (!begun() && mayLeave_ && !mayLeave_()) return finish(End::kHeldBack);
+  if (!begun() && mayLeave_ && !mayLeave_()) return finish(End::kWithheld);
   const Io moved = writeSome(fd_, out_, written_);
   // An endpoint may have answered what it had of the call, and gone, in the instant of this write: a wait
   // that it told must be known. What stands there before a call's first byte is no answer to it.
@@ -79,7 +79,7 @@
   loop_.setEvents(fd_.get(), POLLIN);
 }
 
-bool ClientConnection::takeArrived() {
+bool ClientConnection::processUnread() {
   if (!fd_ || !done_ || !begun() || !hasInput(fd_)) return false;
   bool over = false;
   const Done done = done_;
@@ -114,7 +114,8 @@
     }
     if (state == HttpReader::State::kDone) return finish(End::kAnswered, reader_.take());
     if (reader_.partial().status == 0 && !lastByteWritten()) return finish(End::kNotSent);
-    const End end = answerBegun() ? End::kSpoilt : End::kBroken;  // asked first: taken, it is forgotten
+    const End end =
+        answerBegun() ? End::kInvalidAnswer : End::kBroken;  // asked first: taken, it is forgotten
     return finish(end, reader_.take());
   }
 }
@@ -127,14 +128,14 @@
   if (restTimer_ != Loop::kNoTimer) return;
   restTimer_ = loop_.after(restMs_, [this] {
     restTimer_ = Loop::kNoTimer;
-    finish(End::kSpoilt, reader_.take(), true);
+    finish(End::kInvalidAnswer, reader_.take(), true);
   });
 }
 
 void ClientConnection::finish(End end, HttpMessage answer, bool stalled) {
   const Done done = std::exchange(done_, nullptr);
   loop_.cancel(restTimer_);
-  const bool answerCame = end == End::kAnswered || end == End::kSpoilt;
+  const bool answerCame = end == End::kAnswered || end == End::kInvalidAnswer;
   const bool unsolicited = (answerCame && !begun()) || (end == End::kAnswered && !reader_.buffer().empty());
   // The peer starts a call once its last byte has come. Ahead of that it may reject the call, and say when to
   // come back; anything else answers no call.
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -22,9 +22,9 @@
 class ClientConnection {
  public:
   enum class End {
-    kAnswered,  // a whole answer; ahead of the call's last byte only one that rejects it, 429 or 503
-    kSpoilt,    // one that cannot be read, or did not go on: `answer` holds what could be made out
-    kHeldBack,  // it might not leave, when its first byte was to be written
+    kAnswered,       // a whole answer; ahead of the call's last byte only one that rejects it, 429 or 503
+    kInvalidAnswer,  // one that cannot be read, or did not go on: `answer` holds what could be made out
+    kWithheld,       // it might not leave, when its first byte was to be written
     // It never came up, or broke before the last byte was written, or something else than a rejection came
     // ahead of that byte: the peer cannot have acted.
     kNotSent,
@@ -53,9 +53,9 @@
   bool open() const { return static_cast<bool>(fd_); }  // false also where no descriptor could be had
   using Gate = std::function<bool()>;
   // Starts the call, or replaces it while no byte of it is written; `done` comes once, unless close() comes
-  // first, and may destroy this connection. `mayLeave`, if any, is asked just before the first byte is
+  // first, and may destroy this connection. `maySend`, if any, is asked just before the first byte is
   // written, again where it could not be.
-  void send(std::string bytes, Done done, Gate mayLeave = nullptr);
+  void send(std::string bytes, Done done, Gate maySend = nullptr);
   bool connected() const { return connected_; }
   bool begun() const { return written_ > 0; }  // the call's first byte is written
   bool lastByteWritten() const { return connected_ && written_ == out_.size(); }
@@ -69,7 +69,7 @@
   void endSending();
   // Takes in what has come and was not read yet, without writing on. Whether the call is over with that:
   // `done` has been called then, and may have destroyed this connection.
-  bool takeArrived();
+  bool processUnread();
 
  private:
   void onEvents(short revents);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -21,7 +21,7 @@
   if (at != watches_.end()) at->second.events = events;
 }
 
-void Loop::forget(int fd) { watches_.erase(fd); }
+void Loop::unwatch(int fd) { watches_.erase(fd); }
 
 Loop::Timer Loop::after(double delayMs, std::function<void()> action) {
   const Timer timer{nowMs() + std::max(0.0, delayMs), ++lastSerial_};
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -59,7 +59,7 @@
   // Changes the events asked for; nothing where the descriptor is not watched.
   void setEvents(int fd, short events);
   // To be called before the descriptor is closed.
-  void forget(int fd);
+  void unwatch(int fd);
 
   // Runs `action` once, in that many ms or a little later.
   Timer after(double delayMs, std::function<void()> action);
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -76,7 +76,7 @@
   return std::string(host.data()) + ":" + std::to_string(ntohs(raw.sin_port));
 }
 
-bool hasArrival(const Fd& listener) {
+bool hasPendingConnection(const Fd& listener) {
   pollfd waits{listener.get(), POLLIN, 0};
   return ::poll(&waits, 1, 0) > 0;
 }
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -52,7 +52,7 @@
 // Where a listener really listens: port 0 asks for any.
 std::string localAddress(const Fd& fd);
 // Whether a connection waits to be accepted.
-bool hasArrival(const Fd& listener);
+bool hasPendingConnection(const Fd& listener);
 Fd acceptFrom(const Fd& listener, int& error);
 // An empty Fd: no descriptor or no port could be had, which says nothing of the peer. A refused connection
 // shows when the descriptor becomes writable.
--- a/src/notices/notices.cpp
+++ b/src/notices/notification_sender.cpp
@@ -1,4 +1,4 @@
-#include "notices/notices.h"
+#include "notices/notification_sender.h"
 
 #include <algorithm>
 #include <cmath>
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-void Notices::add(const std::string& id, FinalStatus verdict, double waitMs) {
+void NotificationSender::add(const std::string& id, FinalStatus verdict, double waitMs) {
   std::string line = R"({"ref":)" + json::quote(id);
   line += verdict == FinalStatus::kFailed ? R"(,"result":"dead")" : R"(,"result":"bounced")";
   if (verdict == FinalStatus::kReturned && waitMs > 0)
@@ -43,7 +43,7 @@
   if (posted_ == 0 && timer_ == Loop::kNoTimer) again(0);  // those of one batch go together
 }
 
-void Notices::moved() {
+void NotificationSender::onAddressChanged() {
   connection_.reset();
   if (posted_ == 0) return;
   // Cut off half-way: whether the old address took them on is not known, and twice does no harm.
@@ -53,11 +53,11 @@
   again(0);
 }
 
-void Notices::again(double delayMs) {
+void NotificationSender::again(double delayMs) {
   timer_ = loop_.after(delayMs, [this] { post(); });
 }
 
-void Notices::post() {
+void NotificationSender::post() {
   timer_ = Loop::kNoTimer;
   if (waiting_.empty()) return;
   posted_ = std::min(waiting_.size(), oneByOne_ ? 1 : kMostAtOnce);
@@ -75,7 +75,7 @@
   });
 }
 
-void Notices::onResult(const ClientConnection::Result& result) {
+void NotificationSender::onResult(const ClientConnection::Result& result) {
   loop_.cancel(timer_);
   if (result.unsolicited) {
     ++counters_.unsolicited;
@@ -113,7 +113,7 @@
 }
 
 // It says nothing of how fast the platform answers.
-void Notices::onUnsent() {
+void NotificationSender::onUnsent() {
   posted_ = 0;
   ++counters_.noticeRetries;
   again(unsentRetryMs(++unsentInRow_));
--- a/src/notices/notices.h
+++ b/src/notices/notification_sender.h
@@ -18,18 +18,18 @@
 
 namespace myrtleloft {
 
-class Notices {
+class NotificationSender {
  public:
   using Confirmed = std::function<void(const std::string& id)>;
 
-  Notices(Loop& loop, const Address& platform, Counters& counters, Log log)
+  NotificationSender(Loop& loop, const Address& platform, Counters& counters, Log log)
       : loop_(loop), platform_(platform), counters_(counters), log_(std::move(log)) {}
 
   void onConfirmed(Confirmed confirmed) { confirmed_ = std::move(confirmed); }
   void add(const std::string& id, FinalStatus verdict, double waitMs);
   bool empty() const { return waiting_.empty(); }
   // The platform's address has changed: what is not confirmed goes there.
-  void moved();
+  void onAddressChanged();
 
  private:
   struct Notice {
--- a/src/outbound/answers.cpp
+++ b/src/outbound/answers.cpp
@@ -75,7 +75,7 @@
 // Its status may be as wrong as the rest: taken at its word, a 503 would send a charge again that has run.
 // Only a first line with 200 stands, for the message was delivered once it was written; it speaks for one
 // message alone.
-CallOutcome readSpoiltAnswer(const HttpMessage& begun, bool bulk) {
+CallOutcome readInvalidAnswer(const HttpMessage& begun, bool bulk) {
   if (begun.status == 200 && !bulk) return readAnswer(begun);
   return {"", Outcome::kFailure, false, waitMs(begun)};
 }
--- a/src/outbound/answers.h
+++ b/src/outbound/answers.h
@@ -6,7 +6,7 @@
 
 #include "myrtleloft/dispatcher.h"
 #include "net/http.h"
-#include "outbound/outbound.h"
+#include "outbound/upstream_client.h"
 
 namespace myrtleloft {
 
@@ -15,7 +15,7 @@
 // The common outcome of an answer to a whole call; its id is empty.
 CallOutcome readAnswer(const HttpMessage& answer);
 // The common outcome of a call whose answer cannot be read to its end.
-CallOutcome readSpoiltAnswer(const HttpMessage& begun, bool bulk);
+CallOutcome readInvalidAnswer(const HttpMessage& begun, bool bulk);
 // The outcomes of a bulk call that was answered 200, one for each item.
 std::vector<CallOutcome> readBulkAnswer(const HttpMessage& answer, const std::vector<CallItem>& items);
 // What the answer tells of the endpoint's limit.
--- a/src/outbound/outbound.cpp
+++ b/src/outbound/upstream_client.cpp
@@ -1,4 +1,4 @@
-#include "outbound/outbound.h"
+#include "outbound/upstream_client.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -21,14 +21,15 @@
 
 }  // namespace
 
-void Outbound::call(const EndpointRecord& endpoint, std::vector<CallItem> items) {
+void UpstreamClient::call(const EndpointRecord& endpoint, std::vector<CallItem> items) {
   const std::uint64_t number = ++lastCall_;
   Call& call = calls_[number];
   call.uid = endpoint.info.endpoint;
   call.address = endpoint.address;
   call.bulk = items.size() > 1;
   call.items = std::move(items);
-  for (CallItem& item : call.items) item.answerByMs = std::min(item.answerByMs, loop_.nowMs() + item.capMs);
+  for (CallItem& item : call.items)
+    item.answerDeadlineMs = std::min(item.answerDeadlineMs, loop_.nowMs() + item.timeoutMs);
   armCap(number);
   armLeave(number);
   waiting_.insert(number);
@@ -37,17 +38,17 @@
 
 // The module counts a call for what it sends to an endpoint in one batch, but bodies that are long together
 // need several.
-void Outbound::beginNext() {
+void UpstreamClient::beginNext() {
   const auto out = [this] { return calls_.size() - waiting_.size(); };
   while (!waiting_.empty() && (limits_.callSlots == 0 || out() < limits_.callSlots))
     begin(waiting_.extract(waiting_.begin()).value());
 }
 
-double Outbound::leftMs(const CallItem& item) const { return item.answerByMs - loop_.nowMs(); }
+double UpstreamClient::leftMs(const CallItem& item) const { return item.answerDeadlineMs - loop_.nowMs(); }
 
-std::string Outbound::bytesOf(const Call& call) const {
+std::string UpstreamClient::bytesOf(const Call& call) const {
   const std::string& host = call.address.text;
-  const CallItem& soonest = *std::ranges::min_element(call.items, {}, &CallItem::answerByMs);
+  const CallItem& soonest = *std::ranges::min_element(call.items, {}, &CallItem::answerDeadlineMs);
   const std::string timeout = seconds(std::max(kMinTimeoutMs, leftMs(soonest)));
   if (call.bulk) {
     const Headers headers = {{"Content-Type", "application/json"}, {"X-Timeout", timeout}};
@@ -60,17 +61,17 @@
   return writeRequest("POST", "/inbox", host, headers, item.body);
 }
 
-void Outbound::write(std::uint64_t number) {
+void UpstreamClient::write(std::uint64_t number) {
   Call& call = calls_.at(number);
   call.connection->send(
       bytesOf(call), [this, number](const ClientConnection::Result& result) { onResult(number, result); },
       [this, number] {
         const Call& leaving = calls_.at(number);
-        return listener_->mayLeave({number, leaving.uid, leaving.address, leaving.items});
+        return listener_->maySend({number, leaving.uid, leaving.address, leaving.items});
       });
 }
 
-void Outbound::begin(std::uint64_t number) {
+void UpstreamClient::begin(std::uint64_t number) {
   Call& call = calls_.at(number);
   ++counters_.calls;
   counters_.sends += call.items.size();
@@ -88,14 +89,14 @@
 // try again in each batch and use up the request's attempts within a moment. So the call keeps its slot until
 // there is room, or its time is up; it is not sent even then, for the module chose its endpoint before the
 // trouble.
-void Outbound::awaitDescriptor(std::uint64_t number) {
+void UpstreamClient::awaitDescriptor(std::uint64_t number) {
   calls_.at(number).connectTimer = loop_.after(kDescriptorMs, [this, number] {
     if (descriptorFree()) return giveUp(number, Outcome::kNotSent);
     awaitDescriptor(number);
   });
 }
 
-void Outbound::reconsider(const EndpointTable& set) {
+void UpstreamClient::onEndpointsChanged(const EndpointTable& set) {
   std::vector<std::uint64_t> moved;
   for (const auto& [number, call] : calls_) {
     const EndpointRecord* endpoint = set.find(call.uid);
@@ -111,7 +112,7 @@
 
 // A connection may take seconds to come up, or an endpoint to read on, and the wait binds what arrives then.
 // A call counts once its last byte has arrived: of which a byte is missing, nothing has run.
-void Outbound::recall(const std::function<bool(const std::string&)>& bound) {
+void UpstreamClient::cancelUnsent(const std::function<bool(const std::string&)>& bound) {
   std::vector<std::uint64_t> back;
   for (const auto& [number, call] : calls_)
     if (bound(call.uid) && (!call.connection || !call.connection->lastByteWritten())) back.push_back(number);
@@ -119,26 +120,26 @@
 }
 
 // A report may recall others, of these too.
-void Outbound::takeBack(const std::vector<std::uint64_t>& numbers) {
+void UpstreamClient::takeBack(const std::vector<std::uint64_t>& numbers) {
   for (const std::uint64_t number : numbers)
     if (calls_.count(number)) giveUp(number, Outcome::kNotSent);
 }
 
 // It may wait for a slot, for its connection, or for the endpoint to read. A bulk call goes back whole: none
 // of it has run.
-void Outbound::armLeave(std::uint64_t number) {
+void UpstreamClient::armLeave(std::uint64_t number) {
   Call& call = calls_.at(number);
-  const auto soonest =
-      std::min_element(call.items.begin(), call.items.end(),
-                       [](const auto& left, const auto& right) { return left.leaveByMs < right.leaveByMs; });
-  if (soonest->leaveByMs == std::numeric_limits<double>::infinity()) return;
-  call.leaveTimer = loop_.after(soonest->leaveByMs - loop_.nowMs(), [this, number] {
+  const auto soonest = std::min_element(
+      call.items.begin(), call.items.end(),
+      [](const auto& left, const auto& right) { return left.sendDeadlineMs < right.sendDeadlineMs; });
+  if (soonest->sendDeadlineMs == std::numeric_limits<double>::infinity()) return;
+  call.leaveTimer = loop_.after(soonest->sendDeadlineMs - loop_.nowMs(), [this, number] {
     const ClientConnection* connection = calls_.at(number).connection.get();
     if (!connection || !connection->lastByteWritten()) giveUp(number, Outcome::kNotSent);
   });
 }
 
-void Outbound::abandon(const std::string& id) {
+void UpstreamClient::abandon(const std::string& id) {
   for (const auto& [number, call] : calls_) {
     const auto carries = [&id](const CallItem& item) { return item.id == id; };
     if (std::none_of(call.items.begin(), call.items.end(), carries)) continue;
--- a/src/outbound/outbound.h
+++ b/src/outbound/upstream_client.h
@@ -24,25 +24,25 @@
 
 struct CallItem {
   std::string id, key, body;
-  double capMs = 0;  // how long the relay waits for this one, from when its call begins
+  double timeoutMs = 0;  // how long the relay waits for this one, from when its call begins
   // Until when the relay waits for it at most, on the loop's clock in ms, however late its call begins.
-  double answerByMs = std::numeric_limits<double>::infinity();
+  double answerDeadlineMs = std::numeric_limits<double>::infinity();
   // By when its last byte must be written, on the loop's clock in ms; later it is reported as not sent.
-  double leaveByMs = std::numeric_limits<double>::infinity();
+  double sendDeadlineMs = std::numeric_limits<double>::infinity();
 };
 
 struct CallOutcome {
   std::string id;
   Outcome outcome = Outcome::kFailure;
-  bool ended = false;
-  std::int64_t detail = 0;
-  bool parted = false;  // its call had been given up, and the answer was on its way
+  bool completed = false;
+  std::int64_t retryAfterMs = 0;
+  bool halfClosed = false;  // its call had been given up, and the answer was on its way
   // When the answer came, at the latest, on the loop's clock; without one, when the call was over.
   double arrivedMs = 0;
 };
 
 // A call whose first byte is about to be written, with the requests that it still carries.
-struct Departure {
+struct OutgoingCall {
   std::uint64_t number = 0;  // no other call has it; never 0
   const std::string& uid;
   const Address& to;
@@ -54,7 +54,7 @@
   virtual ~CallListener() = default;
   // Asked just before a call's first byte is written, again where it could not be. No: it is reported as not
   // sent.
-  virtual bool mayLeave(const Departure& /*call*/) { return true; }
+  virtual bool maySend(const OutgoingCall& /*call*/) { return true; }
   // The endpoint sent bytes that answer no call.
   virtual void onUnsolicited(const std::string& /*uid*/) {}
   // Outcomes of one call; each of its requests is named once, over one or more such calls.
@@ -62,18 +62,18 @@
                           const LoadReport& report) = 0;
 };
 
-struct OutboundLimits {
+struct UpstreamClientOptions {
   double connectTimeoutMs = 0;
   std::vector<std::string> reportColumns;
   std::size_t callSlots = 0;  // calls on connections at once; 0: any number
 };
 
-class Outbound {
+class UpstreamClient {
  public:
-  Outbound(Loop& loop, Counters& counters, OutboundLimits limits)
+  UpstreamClient(Loop& loop, Counters& counters, UpstreamClientOptions limits)
       : loop_(loop), counters_(counters), limits_(std::move(limits)) {}
 
-  void listen(CallListener& listener) { listener_ = &listener; }
+  void setListener(CallListener& listener) { listener_ = &listener; }
   // One call; several items go as one bulk. Where all slots are taken it begins when one is free, in turn.
   // Never reports before it returns.
   void call(const EndpointRecord& endpoint, std::vector<CallItem> items);
@@ -81,11 +81,11 @@
   void abandon(const std::string& id);
   // The list has changed: calls that have not left yet and whose endpoint is gone, drains or has moved are
   // reported as not sent. Calls that have left are seen to their end: whoever has them may have run them.
-  void reconsider(const EndpointTable& set);
+  void onEndpointsChanged(const EndpointTable& set);
   // Reports calls whose last byte is not written, as they wait for a slot, for their connection or for their
   // endpoint to read, to endpoints for which `bound` holds, as not sent.
-  void recall(const std::function<bool(const std::string& uid)>& bound);
-  std::size_t callsOut() const { return calls_.size(); }  // those that wait for a slot as well
+  void cancelUnsent(const std::function<bool(const std::string& uid)>& bound);
+  std::size_t pendingCalls() const { return calls_.size(); }  // those that wait for a slot as well
 
  private:
   using Connection = std::unique_ptr<ClientConnection>;
@@ -128,7 +128,7 @@
 
   Loop& loop_;
   Counters& counters_;
-  OutboundLimits limits_;
+  UpstreamClientOptions limits_;
   CallListener* listener_ = nullptr;
   std::map<std::uint64_t, Call> calls_;
   std::set<std::uint64_t> waiting_;  // of the calls, those that wait for a slot, in their order
--- a/src/outbound/outbound_ends.cpp
+++ b/src/outbound/upstream_client_outcomes.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "outbound/answers.h"
-#include "outbound/outbound.h"
+#include "outbound/upstream_client.h"
 
 namespace myrtleloft {
 namespace {
@@ -25,13 +25,13 @@
 // may be refused to its client: it is taken out of a call of which no byte is written, and the others go on.
 // A call that has begun is given up whole with the first of its requests whose time is up: its answer would
 // count as no delivery for the others either.
-void Outbound::armCap(std::uint64_t number) {
+void UpstreamClient::armCap(std::uint64_t number) {
   Call& call = calls_.at(number);
-  const auto soonest = std::ranges::min_element(call.items, {}, &CallItem::answerByMs);
+  const auto soonest = std::ranges::min_element(call.items, {}, &CallItem::answerDeadlineMs);
   call.capTimer = loop_.after(leftMs(*soonest), [this, number] { onCap(number); });
 }
 
-void Outbound::onCap(std::uint64_t number) {
+void UpstreamClient::onCap(std::uint64_t number) {
   Call& call = calls_.at(number);
   const auto split = std::stable_partition(call.items.begin(), call.items.end(),
                                            [this](const CallItem& item) { return leftMs(item) > 0; });
@@ -46,7 +46,7 @@
   report(call, loop_.nowMs(), std::move(outcomes), {});
 }
 
-Outbound::Call Outbound::takeOff(std::uint64_t number) {
+UpstreamClient::Call UpstreamClient::takeOff(std::uint64_t number) {
   Call call = std::move(calls_.at(number));
   calls_.erase(number);
   waiting_.erase(number);
@@ -58,11 +58,11 @@
   return call;
 }
 
-void Outbound::giveUp(std::uint64_t number, Outcome outcome) {
+void UpstreamClient::giveUp(std::uint64_t number, Outcome outcome) {
   Call& given = calls_.at(number);
   if (given.parting) return;
   // What has come counts, though the loop has not read it.
-  if (given.connection && given.connection->takeArrived()) return;
+  if (given.connection && given.connection->processUnread()) return;
   const bool mayBeAnswered = given.connection && given.connection->open() &&
                              given.connection->lastByteWritten() && !given.connection->answerBegun();
   if (outcome != Outcome::kNotSent && mayBeAnswered) return part(number, outcome);
@@ -73,28 +73,29 @@
   reportUnanswered(call, unanswered(call.connection.get(), outcome));
 }
 
-void Outbound::part(std::uint64_t number, Outcome outcome) {
+void UpstreamClient::part(std::uint64_t number, Outcome outcome) {
   Call& call = calls_.at(number);
   call.parting = outcome;
   call.connection->endSending();
   loop_.cancel(call.capTimer);
   call.capTimer = loop_.after(kPartingMs, [this, number] {
-    if (calls_.at(number).connection->takeArrived()) return;
-    const Call parted = takeOff(number);
-    if (parted.connection->answerBegun())
-      return reportSpoilt(parted, parted.connection->answerArrivedMs(), parted.connection->answerSoFar());
-    reportUnanswered(parted, *parted.parting);
+    if (calls_.at(number).connection->processUnread()) return;
+    const Call halfClosed = takeOff(number);
+    if (halfClosed.connection->answerBegun())
+      return reportSpoilt(halfClosed, halfClosed.connection->answerArrivedMs(),
+                          halfClosed.connection->answerSoFar());
+    reportUnanswered(halfClosed, *halfClosed.parting);
   });
 }
 
-void Outbound::onResult(std::uint64_t number, const ClientConnection::Result& result) {
+void UpstreamClient::onResult(std::uint64_t number, const ClientConnection::Result& result) {
   Call call = takeOff(number);
   if (result.unsolicited) {
     ++counters_.unsolicited;
     listener_->onUnsolicited(call.uid);
   }
-  if (result.end == ClientConnection::End::kHeldBack) return reportUnanswered(call, Outcome::kNotSent);
-  if (result.end == ClientConnection::End::kSpoilt) {
+  if (result.end == ClientConnection::End::kWithheld) return reportUnanswered(call, Outcome::kNotSent);
+  if (result.end == ClientConnection::End::kInvalidAnswer) {
     ++counters_.spoilt;
     return reportSpoilt(call, result.arrivedMs, result.answer);
   }
@@ -112,27 +113,27 @@
     reportAll(call, result.arrivedMs, readAnswer(result.answer), told);
 }
 
-void Outbound::reportUnanswered(const Call& call, Outcome outcome) {
+void UpstreamClient::reportUnanswered(const Call& call, Outcome outcome) {
   reportAll(call, loop_.nowMs(), {"", outcome, false, 0}, {});
 }
 
-void Outbound::reportSpoilt(const Call& call, double arrivedMs, const HttpMessage& begun) {
-  reportAll(call, arrivedMs, readSpoiltAnswer(begun, call.bulk), {});
+void UpstreamClient::reportSpoilt(const Call& call, double arrivedMs, const HttpMessage& begun) {
+  reportAll(call, arrivedMs, readInvalidAnswer(begun, call.bulk), {});
 }
 
-void Outbound::reportAll(const Call& call, double arrivedMs, const CallOutcome& like,
-                         const LoadReport& told) {
+void UpstreamClient::reportAll(const Call& call, double arrivedMs, const CallOutcome& like,
+                               const LoadReport& told) {
   std::vector<CallOutcome> outcomes;
   for (const CallItem& item : call.items)
-    outcomes.push_back({item.id, like.outcome, like.ended, like.detail});
+    outcomes.push_back({item.id, like.outcome, like.completed, like.retryAfterMs});
   report(call, arrivedMs, std::move(outcomes), told);
 }
 
-void Outbound::report(const Call& call, double arrivedMs, std::vector<CallOutcome> outcomes,
-                      const LoadReport& told) {
+void UpstreamClient::report(const Call& call, double arrivedMs, std::vector<CallOutcome> outcomes,
+                            const LoadReport& told) {
   for (CallOutcome& outcome : outcomes) {
     outcome.arrivedMs = arrivedMs;
-    outcome.parted = call.parting.has_value();
+    outcome.halfClosed = call.parting.has_value();
     ++counters_.outcomes.at(static_cast<std::size_t>(outcome.outcome));
   }
   listener_->onOutcomes(call.uid, outcomes, told);
--- a/src/quota/quota_door.cpp
+++ b/src/quota/quota_admission.cpp
@@ -1,4 +1,4 @@
-#include "quota/quota_door.h"
+#include "quota/quota_admission.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,7 +15,7 @@
   QuotaShape shape;
   for (const std::int64_t seconds : plan.windowsS)
     shape.spansMs.push_back(static_cast<double>(seconds) * 1000);
-  shape.mostAwake = static_cast<std::size_t>(plan.mostAwake);
+  shape.maxActiveWindows = static_cast<std::size_t>(plan.maxActiveWindows);
   std::map<std::string_view, int> indexOf;
   for (const QuotaPlan::Node& node : plan.nodes) {
     QuotaShape::Node& made = shape.nodes.emplace_back();
@@ -36,8 +36,8 @@
 
 }  // namespace
 
-QuotaDoor::QuotaDoor(const QuotaPlan& plan, const std::vector<std::string>& tenants,
-                     const std::vector<double>& worths, const Parts& parts)
+QuotaAdmission::QuotaAdmission(const QuotaPlan& plan, const std::vector<std::string>& tenants,
+                               const std::vector<double>& worths, const Parts& parts)
     : parts_(parts), tree_(shapeOf(plan)), tenants_(tenants.size()) {
   for (const double worth : worths) worthMicro_.push_back(microOf(worth));
   std::vector<int> owner(plan.nodes.size(), -1);  // index of the tenant; -1: of none here
@@ -61,7 +61,7 @@
   }
 }
 
-int QuotaDoor::leafOf(int tenant, std::string_view unit) const {
+int QuotaAdmission::leafOf(int tenant, std::string_view unit) const {
   if (static_cast<std::size_t>(tenant) >= tenants_.size()) return kNoQuota;
   const Tenant& of = tenants_[static_cast<std::size_t>(tenant)];
   const auto at = unit.empty() ? of.units.end() : of.units.find(unit);
@@ -71,24 +71,24 @@
 
 // A call is asked for too, though it comes later: where the calls of a window are used up, a request more
 // would bring another.
-std::optional<double> QuotaDoor::refuses(int leaf, int cls, double nowMs) {
+std::optional<double> QuotaAdmission::rejects(int leaf, int cls, double nowMs) {
   if (leaf == kNoQuota) return std::nullopt;
   Amount wanted = amountOf(cls);
   wanted.add(kCall);
-  const auto refusal = tree_.refuses(leaf, wanted, nowMs);
-  if (!refusal) return std::nullopt;
+  const auto rejection = tree_.rejects(leaf, wanted, nowMs);
+  if (!rejection) return std::nullopt;
   ++parts_.counters.failFastQuota;
-  const double spanMs = tree_.shape().spansMs[refusal->window];
-  const std::string& node = tree_.shape().nodes[static_cast<std::size_t>(refusal->node)].name;
+  const double spanMs = tree_.shape().spansMs[rejection->window];
+  const std::string& node = tree_.shape().nodes[static_cast<std::size_t>(rejection->node)].name;
   const std::string what =
-      refusal->poolFull ? "windows" : kMeasureNames[static_cast<std::size_t>(refusal->measure)];
+      rejection->poolFull ? "windows" : kMeasureNames[static_cast<std::size_t>(rejection->measure)];
   const auto seconds = static_cast<std::int64_t>(spanMs / 1000);
   parts_.log.repeated(
       nowMs, LogLevel::kInfo, "quota.refused",
       "quota: " + node + " has no room in its " + what + " of " + std::to_string(seconds) + " s",
       {{"node", node}, {"measure", what}, {"window_s", seconds}});
   // One that never fits is told the longest that the window could take.
-  return std::isfinite(refusal->comeBackMs) ? refusal->comeBackMs : spanMs;
+  return std::isfinite(rejection->retryAfterMs) ? rejection->retryAfterMs : spanMs;
 }
 
 }  // namespace myrtleloft
--- a/src/quota/quota_door.h
+++ b/src/quota/quota_admission.h
@@ -1,10 +1,10 @@
 // Whether a request may come in, by the operator's quotas: which node it belongs to, and whether every level
 // from there to the root has room. Refuses, counts and logs; the tree reckons.
 //
-//   QuotaDoor door(plan, tenants, worths, {counters, log});
+//   QuotaAdmission door(plan, tenants, worths, {counters, log});
 //   const int leaf = door.leafOf(tenant, unit);             // kNoQuota: none is about it
 //   if (const auto waitMs = door.refuses(leaf, cls, nowMs)) ... refused, come back in *waitMs
-//   door.takenIn(leaf, cls, nowMs); door.called(leaf, nowMs);
+//   door.chargeRequest(leaf, cls, nowMs); door.chargeCall(leaf, nowMs);
 //
 // What is taken in is charged in messages and worth, and each call in calls, at every level. Nobody is called
 // less for a quota: a request that was taken in goes its way, and its calls only keep later ones out.
@@ -28,7 +28,7 @@
 
 namespace myrtleloft {
 
-class QuotaDoor {
+class QuotaAdmission {
  public:
   static constexpr int kNoQuota = -1;
   struct Parts {
@@ -38,22 +38,22 @@
 
   // `tenants`, `worths`: by index of the tenant and of the class. Tenants that are not among them have no
   // requests, and their nodes nothing to do.
-  QuotaDoor(const QuotaPlan& plan, const std::vector<std::string>& tenants, const std::vector<double>& worths,
-            const Parts& parts);
+  QuotaAdmission(const QuotaPlan& plan, const std::vector<std::string>& tenants,
+                 const std::vector<double>& worths, const Parts& parts);
 
-  bool on() const { return !tree_.shape().nodes.empty(); }
+  bool enabled() const { return !tree_.shape().nodes.empty(); }
   // The node of that unit, else the tenant's node for the rest, else the tenant's own.
   int leafOf(int tenant, std::string_view unit) const;
   // When to come back, in ms.
-  std::optional<double> refuses(int leaf, int cls, double nowMs);
-  void takenIn(int leaf, int cls, double nowMs) { tree_.charge(leaf, amountOf(cls), nowMs); }
+  std::optional<double> rejects(int leaf, int cls, double nowMs);
+  void chargeRequest(int leaf, int cls, double nowMs) { tree_.charge(leaf, amountOf(cls), nowMs); }
   // It was refused after all.
-  void takeBack(int leaf, int cls, double whenMs, double nowMs) {
-    tree_.takeBack(leaf, amountOf(cls), whenMs, nowMs);
+  void refundRequest(int leaf, int cls, double whenMs, double nowMs) {
+    tree_.refund(leaf, amountOf(cls), whenMs, nowMs);
   }
-  void called(int leaf, double nowMs) { tree_.charge(leaf, kCall, nowMs); }
+  void chargeCall(int leaf, double nowMs) { tree_.charge(leaf, kCall, nowMs); }
   // It never left, or the endpoint said that it did not count.
-  void calledInVain(int leaf, double whenMs, double nowMs) { tree_.takeBack(leaf, kCall, whenMs, nowMs); }
+  void refundCall(int leaf, double whenMs, double nowMs) { tree_.refund(leaf, kCall, whenMs, nowMs); }
   const QuotaTree& tree() const { return tree_; }
 
  private:
--- a/src/quota/quota_plan.h
+++ b/src/quota/quota_plan.h
@@ -18,9 +18,9 @@
     std::vector<double> worth;
   };
   std::vector<std::int64_t> windowsS;
-  std::string header;          // that names the unit; empty: none
-  std::int64_t mostAwake = 0;  // windows in use at once; 0: as many as fit an eighth of memory_mb
-  std::vector<Node> nodes;     // each behind its parent
+  std::string header;                 // that names the unit; empty: none
+  std::int64_t maxActiveWindows = 0;  // windows in use at once; 0: as many as fit an eighth of memory_mb
+  std::vector<Node> nodes;            // each behind its parent
 };
 
 }  // namespace myrtleloft
--- a/src/quota/quota_tree.cpp
+++ b/src/quota/quota_tree.cpp
@@ -27,7 +27,7 @@
     level.places = static_cast<std::uint32_t>(places_.size()) - level.firstPlace;
     levels_.push_back(level);
   }
-  const std::size_t size = std::min(shape_.mostAwake, places_.size());
+  const std::size_t size = std::min(shape_.maxActiveWindows, places_.size());
   pool_.assign(size, {SlidingWindow(1), kNone});
   free_.reserve(size);
   for (std::size_t i = size; i > 0; --i) free_.push_back(static_cast<std::uint32_t>(i - 1));
@@ -37,10 +37,10 @@
   return place.pooled == kNone ? nullptr : &pool_[place.pooled].window;
 }
 
-std::optional<QuotaTree::Refusal> QuotaTree::refuses(int leaf, const Amount& amount, double nowMs) {
-  std::optional<Refusal> latest;
-  const auto refuse = [&](Refusal refusal) {
-    if (!latest || refusal.comeBackMs > latest->comeBackMs) latest = refusal;
+std::optional<QuotaTree::Rejection> QuotaTree::rejects(int leaf, const Amount& amount, double nowMs) {
+  std::optional<Rejection> latest;
+  const auto reject = [&](Rejection rejection) {
+    if (!latest || rejection.retryAfterMs > latest->retryAfterMs) latest = rejection;
   };
   std::size_t asleep = 0;
   for (int node = leaf; node >= 0; node = levels_[static_cast<std::size_t>(node)].parent) {
@@ -52,9 +52,9 @@
       if (more == 0) continue;
       if (SlidingWindow* window = windowOf(place)) {
         const double inMs = window->roomInMs(nowMs, bound.measure, more, bound.most);
-        if (inMs > 0) refuse({node, place.window, bound.measure, inMs, false});
+        if (inMs > 0) reject({node, place.window, bound.measure, inMs, false});
       } else if (more > bound.most) {
-        refuse({node, place.window, bound.measure, std::numeric_limits<double>::infinity(), false});
+        reject({node, place.window, bound.measure, std::numeric_limits<double>::infinity(), false});
       }
     }
     for (std::uint32_t i = level.firstPlace; i < level.firstPlace + level.places; ++i)
@@ -64,8 +64,8 @@
   sweep(nowMs);
   if (asleep <= free_.size()) return std::nullopt;
   const auto shortest = std::min_element(shape_.spansMs.begin(), shape_.spansMs.end());
-  return Refusal{leaf, static_cast<std::size_t>(shortest - shape_.spansMs.begin()), Measure::kMessages,
-                 *shortest, true};
+  return Rejection{leaf, static_cast<std::size_t>(shortest - shape_.spansMs.begin()), Measure::kMessages,
+                   *shortest, true};
 }
 
 void QuotaTree::wake(std::uint32_t at) {
@@ -92,11 +92,11 @@
   }
 }
 
-void QuotaTree::takeBack(int leaf, const Amount& amount, double whenMs, double nowMs) {
+void QuotaTree::refund(int leaf, const Amount& amount, double whenMs, double nowMs) {
   for (int node = leaf; node >= 0; node = levels_[static_cast<std::size_t>(node)].parent) {
     const Level& level = levels_[static_cast<std::size_t>(node)];
     for (std::uint32_t i = level.firstPlace; i < level.firstPlace + level.places; ++i)
-      if (SlidingWindow* window = windowOf(places_[i])) window->takeBack(nowMs, whenMs, amount);
+      if (SlidingWindow* window = windowOf(places_[i])) window->refund(nowMs, whenMs, amount);
   }
 }
 
--- a/src/quota/quota_tree.h
+++ b/src/quota/quota_tree.h
@@ -2,11 +2,11 @@
 // passed in.
 //
 //   QuotaTree tree(shape);
-//   if (const auto refusal = tree.refuses(leaf, one, nowMs)) ... 429, come back in refusal->comeBackMs
+//   if (const auto refusal = tree.refuses(leaf, one, nowMs)) ... 429, come back in refusal->retryAfterMs
 //   tree.charge(leaf, one, nowMs);                          // at the leaf and all above it
-//   tree.takeBack(leaf, call, whenMs, nowMs);               // it was proven not to have counted
+//   tree.refund(leaf, call, whenMs, nowMs);               // it was proven not to have counted
 //
-// `refuses` asks every limit from the leaf to the root, `charge` never refuses: calls are decided elsewhere,
+// `rejects` asks every limit from the leaf to the root, `charge` never refuses: calls are decided elsewhere,
 // and are charged all the same. So messages and worth are not passed in any window, and calls as far as new
 // messages bring them.
 //
@@ -39,31 +39,31 @@
   };
   std::vector<double> spansMs;  // of the windows
   std::vector<Node> nodes;
-  std::size_t mostAwake = 65536;  // windows in use at once
+  std::size_t maxActiveWindows = 65536;  // windows in use at once
 };
 
 class QuotaTree {
  public:
-  struct Refusal {
+  struct Rejection {
     int node = 0;  // the level that has room last
     std::size_t window = 0;
     Measure measure = Measure::kMessages;
-    double comeBackMs = 0;  // more than 0; infinite: it never fits
-    bool poolFull = false;  // then it is the pool that has none for the node
+    double retryAfterMs = 0;  // more than 0; infinite: it never fits
+    bool poolFull = false;    // then it is the pool that has none for the node
   };
 
   // Each node behind its parent, each limit over a window that there is.
   explicit QuotaTree(QuotaShape shape);
 
   // Nothing: it fits at every level.
-  std::optional<Refusal> refuses(int leaf, const Amount& amount, double nowMs);
+  std::optional<Rejection> rejects(int leaf, const Amount& amount, double nowMs);
   void charge(int leaf, const Amount& amount, double nowMs);
-  void takeBack(int leaf, const Amount& amount, double whenMs, double nowMs);
+  void refund(int leaf, const Amount& amount, double whenMs, double nowMs);
   // Of a node, in one of its limited windows.
   Amount used(int node, std::size_t window, double nowMs);
   // Windows in use.
-  std::size_t awake() const { return pool_.size() - free_.size(); }
-  // Charges that found no window free, and are counted at fewer levels than they should be. `refuses` sees to
+  std::size_t activeWindows() const { return pool_.size() - free_.size(); }
+  // Charges that found no window free, and are counted at fewer levels than they should be. `rejects` sees to
   // it that these are calls only, of messages whose windows have slid out since.
   std::uint64_t uncounted() const { return uncounted_; }
   const QuotaShape& shape() const { return shape_; }
--- a/src/quota/sliding_window.h
+++ b/src/quota/sliding_window.h
@@ -54,7 +54,7 @@
     used_.add(amount);
   }
   // Of what was added at `whenMs`; what has slid out since is gone already.
-  void takeBack(double nowMs, double whenMs, const Amount& amount) {
+  void refund(double nowMs, double whenMs, const Amount& amount) {
     advance(nowMs);
     const std::int64_t part = partOf(whenMs);
     if (part < now_ - kParts || part > now_) return;
--- a/src/relay/component_options.cpp
+++ b/src/relay/component_options.cpp
@@ -83,8 +83,8 @@
 
 QuotaPlan quotaPlan(const Config& config) {
   QuotaPlan plan = config.operatorFile.quota;
-  if (plan.mostAwake == 0)
-    plan.mostAwake =
+  if (plan.maxActiveWindows == 0)
+    plan.maxActiveWindows =
         static_cast<std::int64_t>(config.memoryBytes / kQuotasPerMemory / QuotaTree::kWindowBytes);
   return plan;
 }
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -53,14 +53,14 @@
       discovery_({loop_, endpointDirectory_, counters_, log_}, config_.discovery, discoveryOptions(config_)),
       quotas_(quotaPlan(config_), config_.tenants, priorityWeights(config_), {counters_, log_}),
       requests_({loop_, endpointDirectory_, journal_, notifications_, upstream_, counters_,
-                 quotas_.on() ? &quotas_ : nullptr, log_},
+                 quotas_.enabled() ? &quotas_ : nullptr, log_},
                 config_.settings),
       trace_(log_),
       server_(loop_, requests_, counters_,
               {config_.classes, config_.tenants, config_.operatorFile.quota.header},
               clientConnections(config_), requestBytes(config_), &trace_),
       logsPhases_(startupLogging == StartupLogging::kAll) {
-  upstream_.listen(requests_);
+  upstream_.setListener(requests_);
   notifications_.onConfirmed([this](const std::string& id) { requests_.onConfirmed(id); });
 }
 
@@ -116,7 +116,7 @@
   enter(Phase::kDraining);
   server_.setReady(false);
   drainStartMs_ = notifiedAtMs;
-  loop_.after(kCloseConnectionsMs, [this] { server_.retire(); });
+  loop_.after(kCloseConnectionsMs, [this] { server_.drain(); });
   loop_.after(drainStartMs_ + kStopSendingMs - loop_.nowMs(), [this] { requests_.drain(); });
   loop_.after(kCloseConnectionsMs + kDrainCheckMs, [this] { checkDrained(); });
 }
@@ -176,7 +176,7 @@
 void RelayProcess::checkDrained() {
   const double elapsedMs = loop_.nowMs() - drainStartMs_;
   const bool nothingInFlight =
-      elapsedMs >= kStopSendingMs && upstream_.callsOut() == 0 && notifications_.empty();
+      elapsedMs >= kStopSendingMs && upstream_.pendingCalls() == 0 && notifications_.empty();
   if (server_.connections() == 0 && (requests_.idle() || nothingInFlight)) return enter(Phase::kStopped);
   if (elapsedMs >= kDrainLimitMs) {
     requests_.rejectWaiting();
--- a/src/relay/relay_process.h
+++ b/src/relay/relay_process.h
@@ -32,15 +32,15 @@
 #include "discovery/endpoint_directory.h"
 #include "exchange/request_manager.h"
 #include "fleet/fleet.h"
-#include "inbound/inbound.h"
+#include "inbound/http_server.h"
 #include "journal/journal.h"
 #include "journal/syncer.h"
 #include "log/log.h"
 #include "myrtleloft/relay.h"
 #include "net/loop.h"
-#include "notices/notices.h"
-#include "outbound/outbound.h"
-#include "quota/quota_door.h"
+#include "notices/notification_sender.h"
+#include "outbound/upstream_client.h"
+#include "quota/quota_admission.h"
 #include "relay/startup_retry.h"
 
 namespace myrtleloft {
@@ -114,13 +114,13 @@
   std::unique_ptr<ThreadSyncer> cacheSyncer_;
   Journal journal_;
   EndpointDirectory endpointDirectory_;
-  Notices notifications_;
-  Outbound upstream_;
+  NotificationSender notifications_;
+  UpstreamClient upstream_;
   DiscoveryClient discovery_;
-  QuotaDoor quotas_;
+  QuotaAdmission quotas_;
   RequestManager requests_;
   RequestTrace trace_;
-  Inbound server_;
+  HttpServer server_;
   std::unique_ptr<Fleet> fleet_;  // none without a section [fleet]
   Phase phase_ = Phase::kStarting;
   bool logsPhases_ = true;
--- a/src/relay/relay_process_counters.cpp
+++ b/src/relay/relay_process_counters.cpp
@@ -20,7 +20,7 @@
   printTimeCounters(out);
   printJournalCounters(out);
   printEndpointCounters(out);
-  if (quotas_.on()) printQuotaCounters(out);
+  if (quotas_.enabled()) printQuotaCounters(out);
   if (fleet_) fleet_->print(out);
   log_.pairs(out.str());
 }
@@ -57,7 +57,7 @@
 
 void RelayProcess::printQuotaCounters(std::ostream& out) const {
   out << "counters quota: nodes=" << quotas_.tree().shape().nodes.size()
-      << " windows=" << quotas_.tree().awake() << " of=" << quotas_.tree().shape().mostAwake
+      << " windows=" << quotas_.tree().activeWindows() << " of=" << quotas_.tree().shape().maxActiveWindows
       << " refused=" << counters_.failFastQuota << " uncounted=" << quotas_.tree().uncounted() << '\n';
 }
 
--- a/src/relay/relay_process_signals.cpp
+++ b/src/relay/relay_process_signals.cpp
@@ -83,7 +83,7 @@
     fleet_->setPeers(config_.operatorFile.fleet.peers);
   if (config_.discovery.text == discoveryBefore) return;
   discovery_.onAddressChanged();
-  notifications_.moved();
+  notifications_.onAddressChanged();
 }
 
 }  // namespace myrtleloft
--- a/tests/answers_twice_test.cpp
+++ b/tests/answers_twice_test.cpp
@@ -42,9 +42,9 @@
   const Clock clock;
   Loop loop(clock);
   Counters counters;
-  Outbound outbound(loop, counters, {kCapMs, {}});
+  UpstreamClient outbound(loop, counters, {kCapMs, {}});
   Outcomes outcomes;
-  outbound.listen(outcomes);
+  outbound.setListener(outcomes);
   for (const char* id : {"first", "second"}) {
     const std::size_t before = outcomes.all.size();
     outbound.call(at("twice", endpoint.address), {{id, "", "body", kCapMs}});
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -64,7 +64,7 @@
     while (begun && !connection.begun()) turn(loop);
     peer.readAll();  // there is room for more
     loop.watch(first.get(), POLLIN, [&](short) {
-      loop.forget(first.get());
+      loop.unwatch(first.get());
       peer.send("HTTP/1.1 503 Busy\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n");
       peer.reset();
     });
@@ -99,7 +99,7 @@
   int turns = 0;
   for (; !result; ++turns) loop.runOnce();
   CHECK(turns > 20);  // each of 256 KiB at the most
-  CHECK(result->end == ClientConnection::End::kSpoilt);
+  CHECK(result->end == ClientConnection::End::kInvalidAnswer);
   writer.join();
 }
 
--- a/tests/exchange/durability_queue_test.cpp
+++ b/tests/exchange/durability_queue_test.cpp
@@ -23,7 +23,7 @@
       site.manager->onSynced();
     }
     CHECK(site.answers == std::vector<Answer::Kind>{Answer::Kind::kAccepted});
-    CHECK(site.outbound.callsOut() == (drains ? 0 : 1));
+    CHECK(site.outbound.pendingCalls() == (drains ? 0 : 1));
   }
 }
 
@@ -39,7 +39,7 @@
     site.advance(10);
   }
   CHECK(site.answers == std::vector<Answer::Kind>{Answer::Kind::kAccepted});
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
 }
 
 TEST_CASE(
@@ -62,18 +62,18 @@
     REQUIRE(fd);
     site.submit("n");
     site.advance(10);
-    REQUIRE(site.outbound.callsOut() == 1);
+    REQUIRE(site.outbound.pendingCalls() == 1);
     const std::string rejection = "HTTP/1.1 429 No\r\nRetry-After: 1.000\r\nContent-Length: 0\r\n\r\n";
     std::size_t written = 0;
     REQUIRE(writeSome(fd, rejection, written) == Io::kProgress);
     site.advance(20);
     sync();
-    CHECK(site.outbound.callsOut() == 0);
+    CHECK(site.outbound.pendingCalls() == 0);
     for (int i = 0; i < 60; ++i) {
       site.advance(20);
       sync();
     }
-    CHECK(site.outbound.callsOut() > 0);
+    CHECK(site.outbound.pendingCalls() > 0);
   }
 }
 
--- a/tests/exchange/exchange_site.h
+++ b/tests/exchange/exchange_site.h
@@ -43,7 +43,7 @@
     manager = std::make_unique<RequestManager>(
         RequestManager::Parts{loop, directory, *journal, notifications, outbound, counters, &quotas},
         settings);
-    outbound.listen(*manager);
+    outbound.setListener(*manager);
     auto found = journal->open();
     REQUIRE(found);
     manager->recover(std::move(*found), directory.begin({}, 0));
@@ -102,9 +102,9 @@
   std::ostringstream log;
   EndpointDirectory directory{{files, clock, share, counters, log}, directoryOptions()};
   Address platform = *parseAddress("127.0.0.1:9");  // not there: notifications stay
-  Notices notifications{loop, platform, counters, log};
-  Outbound outbound{loop, counters, {1500, {}}};
-  QuotaDoor quotas;
+  NotificationSender notifications{loop, platform, counters, log};
+  UpstreamClient outbound{loop, counters, {1500, {}}};
+  QuotaAdmission quotas;
   std::unique_ptr<Journal> journal;
   std::unique_ptr<RequestManager> manager;
   std::vector<Answer::Kind> answers;
--- a/tests/exchange/idempotency_window_test.cpp
+++ b/tests/exchange/idempotency_window_test.cpp
@@ -73,13 +73,13 @@
     // Its retry is decided at once, and recorded; now the disk hangs.
     while (site.syncer.jobs.empty() && site.clock.nowMs < firstMs + 200) site.advance(5);
     REQUIRE(!site.syncer.jobs.empty());
-    REQUIRE(site.outbound.callsOut() == 0);
+    REQUIRE(site.outbound.pendingCalls() == 0);
     site.advance(firstMs + syncMs - site.clock.nowMs);
     keyed.sync();
     const bool inTime = site.clock.nowMs <= firstMs + kWindowMs - kConnectMs;
     const Fd second = keyed.acceptCall();
     CHECK(keyed.arrivedCalls == (inTime ? 2 : 1));
-    CHECK(site.outbound.callsOut() == (inTime ? 1 : 0));
+    CHECK(site.outbound.pendingCalls() == (inTime ? 1 : 0));
   }
 }
 
@@ -119,13 +119,13 @@
   const Fd fd = acceptFrom(site.endpoint, errorNumber);
   REQUIRE(fd);
   site.advance(80);
-  CHECK(site.outbound.callsOut() == 1);
+  CHECK(site.outbound.pendingCalls() == 1);
   site.advance(5);  // 95 of the 100 ms
   std::string bytes;
   for (Io progress = Io::kProgress; progress == Io::kProgress;) progress = readSome(fd, bytes);
   CHECK(readSome(fd, bytes) == Io::kClosed);  // for its endpoint the call is over
   site.advance(60);                           // an answer that was on its way is awaited
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   CHECK(site.counters.delivered == 0);
   CHECK(site.counters.dead + site.counters.bounced == 1);
 }
@@ -157,7 +157,7 @@
   site.manager->onSynced();
   REQUIRE(site.answers.size() == 2);
   CHECK(site.answers[1] == Answer::Kind::kAccepted);
-  CHECK(site.outbound.callsOut() == 1);
+  CHECK(site.outbound.pendingCalls() == 1);
 }
 
 // The call is given up 5 ms before its request's deadline; its endpoint answers just then. By its clock the
@@ -170,11 +170,11 @@
   const Fd call = acceptFrom(site.endpoint, errorNumber);
   REQUIRE(call);
   site.advance(90);
-  CHECK(site.outbound.callsOut() == 1);  // half-closed
+  CHECK(site.outbound.pendingCalls() == 1);  // half-closed
   std::size_t written = 0;
   writeSome(call, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", written);
   site.advance(30);
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   CHECK(site.counters.delivered == 0);
   CHECK(site.counters.dead + site.counters.bounced == 1);
 }
--- a/tests/exchange/quota_charges_test.cpp
+++ b/tests/exchange/quota_charges_test.cpp
@@ -15,7 +15,7 @@
 QuotaPlan smallPlan() {
   QuotaPlan plan;
   plan.windowsS = {60};
-  plan.mostAwake = 8;
+  plan.maxActiveWindows = 8;
   plan.nodes = {{"univ", "", "univ", "", false, {3}, {2}, {}}};
   return plan;
 }
@@ -83,6 +83,6 @@
     site.manager->onSynced();
     site.advance(10);
   }
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   CHECK((used(site) == Used{1, 1000000, 0}));
 }
--- a/tests/exchange/relay_under_test.h
+++ b/tests/exchange/relay_under_test.h
@@ -31,7 +31,7 @@
         syncer(files),
         journal({files, clock, log_, isGroup ? &syncer : nullptr}, {"/s", 400000, 0, {}, "the test", seed}),
         manager({loop, directory, journal, notifications, outbound, counters}, drawnSettings(seed)) {
-    outbound.listen(manager);
+    outbound.setListener(manager);
     notifications.onConfirmed([this](const std::string& id) { manager.onConfirmed(id); });
     auto found = journal.open();
     opened = static_cast<bool>(found);
@@ -93,8 +93,8 @@
   lab::CountedShare share;
   EndpointDirectory directory{{files, clock_, share, counters, log_}, directoryOptions()};
   Address platform = *parseAddress(surroundings_.platform);
-  Notices notifications{loop, platform, counters, log_};
-  Outbound outbound{loop, counters, {1500, {}, kCallSlots}};
+  NotificationSender notifications{loop, platform, counters, log_};
+  UpstreamClient outbound{loop, counters, {1500, {}, kCallSlots}};
   Journal journal;
   RequestManager manager;
   bool opened = false;
--- a/tests/exchange/same_id_test.cpp
+++ b/tests/exchange/same_id_test.cpp
@@ -54,7 +54,7 @@
   site.submit("m");
   syncOnce(site);
   CHECK(site.answersById["m"].empty());
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   advanceAndSync(site);
   CHECK(site.answersById["m"] == Kinds{Answer::Kind::kAccepted});
   CHECK(site.isPendingOnDisk("m"));
--- a/tests/exchange/slow_sync_test.cpp
+++ b/tests/exchange/slow_sync_test.cpp
@@ -90,5 +90,5 @@
   site.advance(kTimeLeftMs + kTurnsMs - site.clock.nowMs);
   CHECK(finalStatuses(site) == 1);
   sync(site);
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
 }
--- a/tests/exchange/stalled_turn_test.cpp
+++ b/tests/exchange/stalled_turn_test.cpp
@@ -29,8 +29,8 @@
     readAll(firstPeer);
     lowNumbers.reset();
     site.submit("second");
-    for (int i = 0; i < 100 && site.outbound.callsOut() < 2; ++i) site.advance(5);
-    REQUIRE(site.outbound.callsOut() == 2);
+    for (int i = 0; i < 100 && site.outbound.pendingCalls() < 2; ++i) site.advance(5);
+    REQUIRE(site.outbound.pendingCalls() == 2);
     secondPeer = accept();
   }
   Fd accept() const {
@@ -57,7 +57,7 @@
   void standIn(const Pipe& pipe, short events, const std::function<void()>& meanwhile) {
     if (events & POLLIN) pipe.fill();
     site.loop.watch(pipe.here.get(), events, [this, &pipe, meanwhile](short) {
-      site.loop.forget(pipe.here.get());
+      site.loop.unwatch(pipe.here.get());
       site.clock.nowMs += kStandsMs;
       meanwhile();
     });
@@ -104,7 +104,7 @@
   TwoCalls calls;
   const Pipe list;
   calls.site.loop.watch(list.here.get(), POLLIN, [&](short) {
-    calls.site.loop.forget(list.here.get());
+    calls.site.loop.unwatch(list.here.get());
     calls.site.setEndpointState(EndpointState::kDraining);
   });
   calls.standIn(*stands, POLLOUT, [&] { list.fill(); });
@@ -143,7 +143,7 @@
   std::string error;
   const Fd listener = listenOn(*parseAddress("127.0.0.1:0"), error);
   const Address platform = *parseAddress(localAddress(listener));
-  Notices notifications(loop, platform, counters, log);
+  NotificationSender notifications(loop, platform, counters, log);
   notifications.onConfirmed([](const std::string&) {});
   const auto turn = [&] {
     loop.after(0, [] {});
@@ -156,7 +156,7 @@
   REQUIRE(peer);
   const Pipe stands;
   loop.watch(stands.here.get(), POLLOUT, [&](short) {
-    loop.forget(stands.here.get());
+    loop.unwatch(stands.here.get());
     clock.nowMs += 600;  // more than a notification waits for its answer
     std::size_t written = 0;
     REQUIRE(writeSome(peer, "HTTP/1.1 204 No Content\r\n\r\n", written) == Io::kProgress);
--- a/tests/exchange/successive_processes.h
+++ b/tests/exchange/successive_processes.h
@@ -50,8 +50,8 @@
     lab::CountedShare share;
     EndpointDirectory directory;
     Address platform;
-    Notices notifications;
-    Outbound outbound;
+    NotificationSender notifications;
+    UpstreamClient outbound;
     Journal journal;
     RequestManager manager;
   };
@@ -69,7 +69,7 @@
 
   void start() {
     process = std::make_unique<Process>(disk, clock, *parseAddress(platform_), lab::moduleSettings(5));
-    process->outbound.listen(process->manager);
+    process->outbound.setListener(process->manager);
     process->notifications.onConfirmed([this](const std::string& id) { process->manager.onConfirmed(id); });
     auto found = process->journal.open();
     REQUIRE(found);
--- a/tests/exchange/unrecorded_sends_test.cpp
+++ b/tests/exchange/unrecorded_sends_test.cpp
@@ -20,7 +20,7 @@
   site.files.failAt(site.files.operations() + 2, 1 << 20, EIO);
   site.advance(10);
   REQUIRE(site.counters.journalFaults == 1);
-  REQUIRE(site.outbound.callsOut() == 0);
+  REQUIRE(site.outbound.pendingCalls() == 0);
 }
 
 }  // namespace
@@ -32,10 +32,10 @@
   site.advance(2000);
   CHECK(site.counters.journalFaults < 12);  // the module may cancel it, but not in each batch
   CHECK(site.notifications.empty());
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   site.repairDisk();
   site.advance(300);
-  CHECK(site.outbound.callsOut() == 1);
+  CHECK(site.outbound.pendingCalls() == 1);
   CHECK(site.notifications.empty());
 }
 
@@ -46,10 +46,10 @@
   CHECK_FALSE(site.notifications.empty());
   site.repairDisk();
   site.advance(500);
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   site.submit("next");
   site.advance(50);
-  CHECK(site.outbound.callsOut() == 1);
+  CHECK(site.outbound.pendingCalls() == 1);
 }
 
 // Guards against a notification that is late because the send was next looked at a journal's rest later.
@@ -71,7 +71,7 @@
   site.manager->onClientDisconnect("m");
   site.repairDisk();
   site.advance(1000);
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   site.submit("m");
   for (int i = 0; i < 20; ++i) {
     site.advance(20);
@@ -79,6 +79,6 @@
     site.manager->onSynced();
   }
   CHECK(site.answers == std::vector<Answer::Kind>{Answer::Kind::kAccepted});
-  CHECK(site.outbound.callsOut() == 1);
+  CHECK(site.outbound.pendingCalls() == 1);
   CHECK(site.notifications.empty());
 }
--- a/tests/fleet_links_test.cpp
+++ b/tests/fleet_links_test.cpp
@@ -140,7 +140,7 @@
   std::string error;
   const Fd listener = listenOn(parseAddress("127.0.0.1:0").value(), error);
   n1.links->setPeers({{"n2", parseAddress(localAddress(listener)).value()}});
-  REQUIRE(site.until([&] { return hasArrival(listener); }));
+  REQUIRE(site.until([&] { return hasPendingConnection(listener); }));
   int fault = 0;
   RawPeer n2(acceptFrom(listener, fault));
   n2.hello({"vina", "n2", "", {3, 1}});
--- a/tests/fleet_spans_test.cpp
+++ b/tests/fleet_spans_test.cpp
@@ -18,7 +18,7 @@
     std::string error;
     listener = listenOn(parseAddress("127.0.0.1:0").value(), error);
     n1.links->setPeers({{"n2", parseAddress(localAddress(listener)).value()}});
-    REQUIRE(until([&] { return hasArrival(listener); }));
+    REQUIRE(until([&] { return hasPendingConnection(listener); }));
     int fault = 0;
     n2 = std::make_unique<RawPeer>(acceptFrom(listener, fault));
     n2->hello(kN2);
--- a/tests/integration/days_test.cpp
+++ b/tests/integration/days_test.cpp
@@ -20,7 +20,7 @@
 
 #include "discovery/discovery_client.h"
 #include "exchange/request_manager.h"
-#include "inbound/inbound.h"
+#include "inbound/http_server.h"
 #include "journal/files.h"
 #include "lab/hand_clock.h"
 #include "lab/hub.h"
@@ -146,7 +146,7 @@
 class Relay {
  public:
   explicit Relay(bool takesList) : files_{takesList} {
-    outbound_.listen(exchange_);
+    outbound_.setListener(exchange_);
     notices_.onConfirmed([this](const std::string& id) { exchange_.onConfirmed(id); });
     REQUIRE(inbound_.open(*parseAddress("127.0.0.1:0"), error_));
     inbound_.setReady(true);
@@ -269,13 +269,13 @@
   std::ostream log_{nullptr};
   Journal journal_{{files_, clock_, log_}, {folder_, 300000, 0, {}, "the test", 5}};
   EndpointDirectory membership_{{files_, clock_, share_, counters_, log_}, options()};
-  Notices notices_{loop_, platform_, counters_, log_};
-  Outbound outbound_{loop_, counters_, {1500, {}}};
+  NotificationSender notices_{loop_, platform_, counters_, log_};
+  UpstreamClient outbound_{loop_, counters_, {1500, {}}};
   RequestManager exchange_{{loop_, membership_, journal_, notices_, outbound_, counters_},
                            lab::moduleSettings(5)};
   DiscoveryClient watch_{{loop_, membership_, counters_, log_}, platform_, {lab::kNames, {}, {}, 5}};
-  Inbound inbound_{loop_, exchange_, counters_, {{"status-update", "caption-order", "billing-charge"}, {}},
-                   8,     1 << 20};
+  HttpServer inbound_{loop_, exchange_, counters_, {{"status-update", "caption-order", "billing-charge"}, {}},
+                      8,     1 << 20};
 };
 
 TEST_CASE(
--- a/tests/integration/half_sent_calls_test.cpp
+++ b/tests/integration/half_sent_calls_test.cpp
@@ -17,7 +17,7 @@
 
 // An outbound on a clock moved by hand, before an endpoint that accepts and does what the test says.
 struct CallSite {
-  CallSite() { outbound.listen(outcomes); }
+  CallSite() { outbound.setListener(outcomes); }
 
   void pass(double ms) {
     clock.nowMs += ms;
@@ -46,7 +46,7 @@
   lab::HandClock clock;
   Loop loop{clock};
   Counters counters;
-  Outbound outbound{loop, counters, {60000, {}}};
+  UpstreamClient outbound{loop, counters, {60000, {}}};
   Outcomes outcomes;
   std::string error, bytes;
   Fd listener = listenOn(*parseAddress("127.0.0.1:0"), error);
@@ -72,7 +72,7 @@
   std::string bytes;
   for (int turns = 0; turns < 20000 && bytes.find("later") == bytes.npos; ++turns) {
     int code = 0;
-    if (hasArrival(deaf.fd)) accepted.push_back(acceptFrom(deaf.fd, code));
+    if (hasPendingConnection(deaf.fd)) accepted.push_back(acceptFrom(deaf.fd, code));
     for (const Fd& fd : accepted) readSome(fd, bytes);
     ::poll(nullptr, 0, 1);
     site.pass(0);
@@ -93,7 +93,7 @@
   site.pass(110);
   REQUIRE(site.outcomes.all.size() == 2);
   for (const auto& [uid, outcome] : site.outcomes.all) CHECK(outcome.outcome == Outcome::kConnectFailed);
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   site.readAll(fd);
   CHECK(site.bytes.size() < body.size());
 }
@@ -116,7 +116,7 @@
   site.pass(kPartingMs + 1);
   REQUIRE(site.outcomes.all.size() == 2);
   for (const auto& [uid, outcome] : site.outcomes.all) CHECK(outcome.outcome == Outcome::kTimeout);
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
 }
 
 namespace {
@@ -135,7 +135,7 @@
   if (closes) fd.reset();
   for (int turns = 0; turns < 100 && site.outcomes.all.empty(); ++turns) site.pass(1);
   REQUIRE(site.outcomes.all.size() == 1);
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   return site.outcomes.all[0].second;
 }
 
@@ -146,8 +146,8 @@
   const CallOutcome wait =
       outcomeOf("HTTP/1.1 429 Wait\r\nRetry-After: 2.5\r\nContent-Length: 0\r\n\r\n", false);
   CHECK(wait.outcome == Outcome::kRejected);
-  CHECK(wait.detail == 2500);
-  CHECK(outcomeOf("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false).ended);
+  CHECK(wait.retryAfterMs == 2500);
+  CHECK(outcomeOf("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false).completed);
   CHECK(outcomeOf("", false).outcome == Outcome::kTimeout);
   CHECK(outcomeOf("", true).outcome == Outcome::kTimeout);
   CHECK(outcomeOf("HTTP/1.1 4", false).outcome == Outcome::kFailure);  // it may have run
@@ -161,10 +161,10 @@
   site.outbound.call(site.endpoint(), {{"long", "", body, 60000}});
   const Fd fd = site.accepted();
   site.pass(0);
-  site.outbound.recall([](const std::string&) { return true; });
+  site.outbound.cancelUnsent([](const std::string&) { return true; });
   REQUIRE(site.outcomes.all.size() == 1);
   CHECK(site.outcomes.all[0].second.outcome == Outcome::kNotSent);
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outbound.pendingCalls() == 0);
   site.readAll(fd);
   CHECK(site.bytes.size() < body.size());
 }
@@ -183,6 +183,6 @@
   site.pass(110);  // both timers are due in one turn
   REQUIRE(site.outcomes.all.size() == 1);
   CHECK(site.outcomes.all[0].second.outcome == Outcome::kRejected);
-  CHECK(site.outcomes.all[0].second.detail == 2500);
-  CHECK(site.outbound.callsOut() == 0);
+  CHECK(site.outcomes.all[0].second.retryAfterMs == 2500);
+  CHECK(site.outbound.pendingCalls() == 0);
 }
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -93,7 +93,7 @@
   const Pipe reader, unwilling, forgotten;
   scene.watchReader(reader, "reader", [&] {
     scene.loop.setEvents(unwilling.here.get(), POLLIN);
-    scene.loop.forget(forgotten.here.get());
+    scene.loop.unwatch(forgotten.here.get());
   });
   scene.watchWriter(unwilling, "unwilling");
   scene.watchWriter(forgotten, "forgotten");
--- a/tests/notices/notices_test.cpp
+++ b/tests/notices/notices_test.cpp
@@ -1,7 +1,5 @@
 // Notifications on connections that hang, break or are refused: the platform has each within the 300 ms that
 // the protocol allows. Real sockets, a manual clock.
-#include "notices/notices.h"
-
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -13,6 +11,7 @@
 
 #include "lab/hand_clock.h"
 #include "lab/hub.h"
+#include "notices/notification_sender.h"
 
 using namespace myrtleloft;
 
@@ -59,7 +58,7 @@
   std::ostringstream log;
   Address address = *parseAddress(hub.listen(
       {[this](lab::Hub::Id from, const lab::Message& message) { onPost(from, message); }, {}, {}}));
-  Notices notifications{loop, address, counters, log};
+  NotificationSender notifications{loop, address, counters, log};
   Fault fault = Fault::kHangs;
   int faults = 0;
   int posts = 0;
@@ -142,7 +141,7 @@
     platform.hub.refuse(platform.address.text);
     platform.address = *parseAddress(platform.hub.listen(
         {[&](lab::Hub::Id from, const lab::Message& message) { platform.onPost(from, message); }, {}, {}}));
-    platform.notifications.moved();
+    platform.notifications.onAddressChanged();
     platform.notifications.add("b", FinalStatus::kReturned, 500);
     platform.advance(kAllowedMs);
     INFO("moved after ", movedAfterMs);
@@ -164,7 +163,7 @@
                                          },
                                          {},
                                          {}}));
-  Notices notifications(platform.loop, slow, platform.counters, platform.log);
+  NotificationSender notifications(platform.loop, slow, platform.counters, platform.log);
   int confirmed = 0;
   notifications.onConfirmed([&](const std::string&) { ++confirmed; });
   notifications.add("m", FinalStatus::kFailed, 0);
@@ -207,7 +206,7 @@
                                          },
                                          {},
                                          {}}));
-  Notices notifications(platform.loop, twice, platform.counters, platform.log);
+  NotificationSender notifications(platform.loop, twice, platform.counters, platform.log);
   std::vector<std::string> confirmed;
   notifications.onConfirmed([&](const std::string& id) { confirmed.push_back(id); });
   notifications.add("a", FinalStatus::kFailed, 0);
--- a/tests/outbound_site.h
+++ b/tests/outbound_site.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "outbound/outbound.h"
+#include "outbound/upstream_client.h"
 
 namespace myrtleloft::lab {
 
--- a/tests/outbound_test.cpp
+++ b/tests/outbound_test.cpp
@@ -1,6 +1,4 @@
 // Calls that have not left when the list changes.
-#include "outbound/outbound.h"
-
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 
@@ -9,6 +7,7 @@
 #include <vector>
 
 #include "lab/hand_clock.h"
+#include "outbound/upstream_client.h"
 #include "tests/outbound_site.h"
 
 using namespace myrtleloft;
@@ -19,9 +18,9 @@
   lab::HandClock clock;
   Loop loop(clock);
   Counters counters;
-  Outbound outbound(loop, counters, {60000, {}, 1});
+  UpstreamClient outbound(loop, counters, {60000, {}, 1});
   Outcomes outcomes;
-  outbound.listen(outcomes);
+  outbound.setListener(outcomes);
   std::string error;
   const Fd listener = listenOn(*parseAddress("127.0.0.1:0"), error);
   const Address address = *parseAddress(localAddress(listener));
@@ -44,7 +43,7 @@
   REQUIRE(outcomes.all.size() == 1);  // its time was over while it waited: it cannot have run
   CHECK(outcomes.all[0].second.id == "late");
   CHECK(outcomes.all[0].second.outcome == Outcome::kNotSent);
-  outbound.recall([](const std::string& uid) { return uid == "b"; });
+  outbound.cancelUnsent([](const std::string& uid) { return uid == "b"; });
   REQUIRE(outcomes.all.size() == 2);
   CHECK(outcomes.all[1].second.id == "third");
   CHECK(outcomes.all[1].second.outcome == Outcome::kNotSent);
@@ -63,16 +62,16 @@
   readSome(next, bytes);
   CHECK(bytes.find("X-Request-ID: second") != bytes.npos);
   CHECK(bytes.find("X-Request-ID: fourth") == bytes.npos);
-  CHECK(outbound.callsOut() == 2);
+  CHECK(outbound.pendingCalls() == 2);
 }
 
 TEST_CASE("a call whose connection is not up yet comes back when its endpoint is bound, one that left not") {
   const Clock clock;
   Loop loop(clock);
   Counters counters;
-  Outbound outbound(loop, counters, {60000, {}});
+  UpstreamClient outbound(loop, counters, {60000, {}});
   Outcomes outcomes;
-  outbound.listen(outcomes);
+  outbound.setListener(outcomes);
   Deaf deaf;
   std::string error;
   const Fd listener = listenOn(*parseAddress("127.0.0.1:0"), error);
@@ -89,20 +88,20 @@
     if (!accepted) accepted = acceptFrom(listener, code);
     if (accepted) readSome(accepted, bytes);
   }
-  outbound.recall([](const std::string& uid) { return uid == "told"; });
+  outbound.cancelUnsent([](const std::string& uid) { return uid == "told"; });
   REQUIRE(outcomes.all.size() == 1);
   CHECK(outcomes.all[0].second.id == "connecting");
   CHECK(outcomes.all[0].second.outcome == Outcome::kNotSent);
-  CHECK(outbound.callsOut() == 2);
+  CHECK(outbound.pendingCalls() == 2);
 }
 
 TEST_CASE("calls that have not left come back at once when their endpoint is gone, drains or has moved") {
   const Clock clock;
   Loop loop(clock);
   Counters counters;
-  Outbound outbound(loop, counters, {60000, {}});
+  UpstreamClient outbound(loop, counters, {60000, {}});
   Outcomes outcomes;
-  outbound.listen(outcomes);
+  outbound.setListener(outcomes);
   Deaf deaf;
   const Address elsewhere = parseAddress("127.0.0.1:9").value();
   const std::vector<std::string> uids = {"gone", "drains", "moved", "stays"};
@@ -111,38 +110,38 @@
   EndpointTable set;
   set.apply(list, ListUpdateKind::kSnapshot, 1);
   for (const std::string& uid : uids) outbound.call(*set.find(uid), {{"m-" + uid, "", "body", 60000}});
-  outbound.reconsider(set);  // nothing has changed
+  outbound.onEndpointsChanged(set);  // nothing has changed
   CHECK(outcomes.all.empty());
   set.apply({2,
              true,
              {at("drains", deaf.address, EndpointState::kDraining), at("moved", elsewhere),
               at("stays", deaf.address)}},
             ListUpdateKind::kSnapshot, 2);
-  outbound.reconsider(set);
+  outbound.onEndpointsChanged(set);
   REQUIRE(outcomes.all.size() == 3);
   for (std::size_t i = 0; i < 3; ++i) {
     CHECK(outcomes.all[i].first == uids[i]);
     CHECK(outcomes.all[i].second.id == "m-" + uids[i]);
     CHECK(outcomes.all[i].second.outcome == Outcome::kNotSent);  // proven never to have run
-    CHECK_FALSE(outcomes.all[i].second.ended);
+    CHECK_FALSE(outcomes.all[i].second.completed);
   }
-  CHECK(outbound.callsOut() == 1);
+  CHECK(outbound.pendingCalls() == 1);
   // Served by another destination under the same address: it is another endpoint.
   EndpointRecord other = at("stays", deaf.address);
   other.info.destination = 8;
   set.apply({3, false, {other}}, ListUpdateKind::kSnapshot, 3);
-  outbound.reconsider(set);
+  outbound.onEndpointsChanged(set);
   CHECK(outcomes.all.size() == 4);
-  CHECK(outbound.callsOut() == 0);
+  CHECK(outbound.pendingCalls() == 0);
 }
 
 TEST_CASE("without a descriptor a call waits in its slot, and what runs out of time meanwhile was not sent") {
   lab::HandClock clock;
   Loop loop(clock);
   Counters counters;
-  Outbound outbound(loop, counters, {1500, {}});
+  UpstreamClient outbound(loop, counters, {1500, {}});
   Outcomes outcomes;
-  outbound.listen(outcomes);
+  outbound.setListener(outcomes);
   const auto pass = [&](double ms) {
     clock.nowMs += ms;
     loop.after(0, [] {});
@@ -156,7 +155,7 @@
   outbound.call(at("a", parseAddress("127.0.0.1:9").value()),
                 {{"soon", "", "x", 100}, {"later", "", "x", 1000}});
   pass(60);
-  const bool waited = outcomes.all.empty() && outbound.callsOut() == 1;
+  const bool waited = outcomes.all.empty() && outbound.pendingCalls() == 1;
   pass(60);
   const auto meanwhile = outcomes.all;
   REQUIRE(::setrlimit(RLIMIT_NOFILE, &limit) == 0);
@@ -168,7 +167,7 @@
   REQUIRE(outcomes.all.size() == 2);
   CHECK(outcomes.all[1].second.id == "later");
   CHECK(outcomes.all[1].second.outcome == Outcome::kNotSent);
-  CHECK(outbound.callsOut() == 0);
+  CHECK(outbound.pendingCalls() == 0);
 }
 
 // Guards against a fault of endpoints that nobody can see: bytes that answer no call end a connection, and
@@ -177,9 +176,9 @@
   const Clock clock;
   Loop loop(clock);
   Counters counters;
-  Outbound outbound(loop, counters, {60000, {}});
+  UpstreamClient outbound(loop, counters, {60000, {}});
   Outcomes outcomes;
-  outbound.listen(outcomes);
+  outbound.setListener(outcomes);
   std::string error;
   const Fd listener = listenOn(*parseAddress("127.0.0.1:0"), error);
   outbound.call(at("twice", *parseAddress(localAddress(listener))), {{"m", "", "body", 60000}});
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "quota/quota_door.h"
+#include "quota/quota_admission.h"
 #include "quota/quota_tree.h"
 #include "quota/sliding_window.h"
 
@@ -121,8 +121,8 @@
       nowMs += drawnGapMs(random);
       const int leaf = static_cast<int>(random() % shape.nodes.size());
       const Amount amount = amountOf(random() % 2, random() % 2000000, random() % 3);
-      const auto refusal = tree.refuses(leaf, amount, nowMs);
-      if (!refusal) {
+      const auto rejection = tree.rejects(leaf, amount, nowMs);
+      if (!rejection) {
         tree.charge(leaf, amount, nowMs);
         ledger.entries.push_back({nowMs, leaf, amount});
       }
@@ -131,20 +131,20 @@
       for (int node = leaf; node >= 0; node = shape.nodes[static_cast<std::size_t>(node)].parent)
         for (const QuotaShape::Limit& limit : shape.nodes[static_cast<std::size_t>(node)].limits) {
           const double spanMs = shape.spansMs[limit.window];
-          const std::uint64_t more = refusal ? amount.of(limit.measure) : 0;
+          const std::uint64_t more = rejection ? amount.of(limit.measure) : 0;
           const std::uint64_t exact = ledger.sum(shape, node, nowMs, spanMs).of(limit.measure);
           const std::uint64_t wide = ledger.sum(shape, node, nowMs, spanMs * 1.02 + 1e-6).of(limit.measure);
-          if (!refusal && amount.of(limit.measure) > 0) RC_ASSERT(exact <= limit.most);
+          if (!rejection && amount.of(limit.measure) > 0) RC_ASSERT(exact <= limit.most);
           fitsWide = fitsWide && (more == 0 || wide + more <= limit.most);
         }
-      if (!refusal) continue;
+      if (!rejection) continue;
       RC_ASSERT(!fitsWide);
-      RC_ASSERT(refusal->comeBackMs > 0);
-      RC_ASSERT(!refusal->poolFull);
+      RC_ASSERT(rejection->retryAfterMs > 0);
+      RC_ASSERT(!rejection->poolFull);
       // Come back then, nothing having been used meanwhile: it fits.
-      if (!std::isfinite(refusal->comeBackMs)) continue;
+      if (!std::isfinite(rejection->retryAfterMs)) continue;
       QuotaTree later = tree;
-      RC_ASSERT(!later.refuses(leaf, amount, nowMs + refusal->comeBackMs + 0.01));
+      RC_ASSERT(!later.rejects(leaf, amount, nowMs + rejection->retryAfterMs + 0.01));
     }
     RC_ASSERT(tree.uncounted() == 0);
   }));
@@ -190,16 +190,16 @@
   const Amount call = amountOf(0, 0, 1);
   tree.charge(1, call, 1000);
   tree.charge(1, call, 1500);
-  const auto refusal = tree.refuses(1, call, 1500);
-  REQUIRE(refusal);
-  CHECK(refusal->node == 1);
-  CHECK(refusal->comeBackMs == doctest::Approx(1540));  // the part of 40 ms that began at 1000 is out at 3040
-  tree.takeBack(1, call, 1500, 1600);
-  CHECK_FALSE(tree.refuses(1, call, 1600));
+  const auto rejection = tree.rejects(1, call, 1500);
+  REQUIRE(rejection);
+  CHECK(rejection->node == 1);
+  CHECK(rejection->retryAfterMs == doctest::Approx(1540));  // the 40 ms bucket from 1000 expires at 3040
+  tree.refund(1, call, 1500, 1600);
+  CHECK_FALSE(tree.rejects(1, call, 1600));
   CHECK(tree.used(0, 0, 1600).of(Measure::kCalls) == 1);
-  tree.takeBack(1, call, 1500, 1600);  // there is nothing left of that moment
+  tree.refund(1, call, 1500, 1600);  // there is nothing left of that moment
   CHECK(tree.used(0, 0, 1600).of(Measure::kCalls) == 1);
-  tree.takeBack(1, call, 1000, 4000);  // long gone
+  tree.refund(1, call, 1000, 4000);  // long gone
   CHECK(tree.used(0, 0, 4000).none());
 }
 
@@ -211,31 +211,31 @@
   for (int i = 0; i < 10000; ++i)
     shape.nodes.push_back(
         {"f" + std::to_string(i), 0, {{Measure::kMessages, 0, 10}, {Measure::kWorth, 1, 5000000}}});
-  shape.mostAwake = 201;
+  shape.maxActiveWindows = 201;
   QuotaTree tree(shape);
   const Amount one = amountOf(1, 1000000);
   for (int i = 1; i <= 100; ++i) {
-    REQUIRE_FALSE(tree.refuses(i, one, 1000));
+    REQUIRE_FALSE(tree.rejects(i, one, 1000));
     tree.charge(i, one, 1000);
   }
-  CHECK(tree.awake() == 201);
-  const auto refusal = tree.refuses(101, one, 1000);
-  REQUIRE(refusal);
-  CHECK(refusal->poolFull);
-  CHECK(refusal->comeBackMs == 2000);
-  CHECK_FALSE(tree.refuses(1, one, 1000));  // it has its windows
+  CHECK(tree.activeWindows() == 201);
+  const auto rejection = tree.rejects(101, one, 1000);
+  REQUIRE(rejection);
+  CHECK(rejection->poolFull);
+  CHECK(rejection->retryAfterMs == 2000);
+  CHECK_FALSE(tree.rejects(1, one, 1000));  // it has its windows
   for (int i = 0; i < 300; ++i) tree.charge(1, one, 3500);
-  CHECK(tree.awake() == 201 - 99);  // the short windows of the others have slid out
-  CHECK_FALSE(tree.refuses(101, one, 3500));
+  CHECK(tree.activeWindows() == 201 - 99);  // the short windows of the others have slid out
+  CHECK_FALSE(tree.rejects(101, one, 3500));
   for (int i = 0; i < 300; ++i) tree.charge(1, one, 70000);
-  CHECK(tree.awake() == 3);
+  CHECK(tree.activeWindows() == 3);
   CHECK(tree.uncounted() == 0);
 }
 
 TEST_CASE("which node a message belongs to: its unit's, the rest's, its tenant's, or none") {
   QuotaPlan plan;
   plan.windowsS = {2};
-  plan.mostAwake = 8;
+  plan.maxActiveWindows = 8;
   plan.nodes = {{"u", "", "a", "", false, {5}, {}, {}},
                 {"campus", "u", "", "", false, {4}, {}, {}},
                 {"med", "campus", "", "med", false, {3}, {}, {}},
@@ -245,23 +245,23 @@
                 {"gone", "", "no longer there", "", false, {1}, {}, {}}};
   Counters counters;
   std::ostringstream log;
-  QuotaDoor door(plan, {"a", "b", "c"}, {1}, {counters, log});
+  QuotaAdmission door(plan, {"a", "b", "c"}, {1}, {counters, log});
   CHECK(door.leafOf(0, "med") == 2);
   CHECK(door.leafOf(0, "") == 3);
   CHECK(door.leafOf(0, "campus") == 3);
   CHECK(door.leafOf(0, std::string(10000, 'x')) == 3);
   CHECK(door.leafOf(1, "med") == 5);
   CHECK(door.leafOf(1, "law") == 4);
-  CHECK(door.leafOf(2, "med") == QuotaDoor::kNoQuota);
-  CHECK_FALSE(door.refuses(QuotaDoor::kNoQuota, 0, 0));
+  CHECK(door.leafOf(2, "med") == QuotaAdmission::kNoQuota);
+  CHECK_FALSE(door.rejects(QuotaAdmission::kNoQuota, 0, 0));
   // The campus has room for four, of which its faculty takes three.
   for (int i = 0; i < 3; ++i) {
-    REQUIRE_FALSE(door.refuses(2, 0, 1000));
-    door.takenIn(2, 0, 1000);
+    REQUIRE_FALSE(door.rejects(2, 0, 1000));
+    door.chargeRequest(2, 0, 1000);
   }
-  CHECK(door.refuses(2, 0, 1000));
+  CHECK(door.rejects(2, 0, 1000));
   CHECK(log.str() == "quota: med has no room in its messages of 2 s\n");
-  CHECK_FALSE(door.refuses(1, 0, 1000));
+  CHECK_FALSE(door.rejects(1, 0, 1000));
 }
 
 TEST_CASE(
@@ -269,7 +269,7 @@
   QuotaShape shape;
   shape.spansMs = {2000};
   shape.nodes = {{"institution", -1, {{Measure::kCalls, 0, 9}}}, {"faculty", 0, {{Measure::kCalls, 0, 9}}}};
-  shape.mostAwake = 1;
+  shape.maxActiveWindows = 1;
   QuotaTree tree(shape);
   tree.charge(0, amountOf(0, 0, 1), 1000);
   tree.charge(1, amountOf(0, 0, 1), 1000);
