--- a/lab/faulty_files.cpp
+++ b/lab/faulty_files.cpp
@@ -10,7 +10,7 @@
 
 std::size_t Disk::used() const {
   std::size_t sum = 0;
-  for (const auto& [path, bytes] : files) sum += inBlocks(bytes.size());
+  for (const auto& [path, bytes] : files) sum += roundUpToBlocks(bytes.size());
   return sum;
 }
 
@@ -111,10 +111,10 @@
 
 void FaultyFiles::measure() { disk_.most = std::max(disk_.most, disk_.used()); }
 
-Result<std::vector<FileSeen>, FileError> FaultyFiles::list(const std::string& folder) {
+Result<std::vector<FileInfo>, FileError> FaultyFiles::list(const std::string& folder) {
   if (crashed_) return FileError{"list", folder, EIO};
   if (readFault_) return FileError{"list", folder, readFault_};
-  std::vector<FileSeen> files;
+  std::vector<FileInfo> files;
   for (const auto& [path, bytes] : disk_.files)
     if (path.starts_with(folder + "/")) files.push_back({path.substr(folder.size() + 1), bytes.size()});
   return files;
@@ -171,7 +171,7 @@
   return std::nullopt;
 }
 
-Result<std::unique_ptr<FolderLock>, LockError> FaultyFiles::lockIfThere(const std::string& path) {
+Result<std::unique_ptr<FolderLock>, LockError> FaultyFiles::lockIfExists(const std::string& path) {
   if (!disk_.files.count(path)) return LockError{{"lock", path, ENOENT}, {}};
   const std::string before = disk_.files[path];
   auto locked = lock(path, {});
--- a/lab/faulty_files.h
+++ b/lab/faulty_files.h
@@ -64,7 +64,7 @@
   const std::vector<Operation>& log() const { return log_; }
 
   using Files::read;
-  Result<std::vector<FileSeen>, FileError> list(const std::string& folder) override;
+  Result<std::vector<FileInfo>, FileError> list(const std::string& folder) override;
   Result<std::string, FileError> read(const std::string& path, std::size_t most) override;
   Result<std::shared_ptr<OutFile>, FileError> create(const std::string& path) override;
   std::optional<FileError> rename(const std::string& from, const std::string& to) override;
@@ -72,7 +72,7 @@
   std::optional<FileError> syncFolder(const std::string& folder) override;
   Result<std::unique_ptr<FolderLock>, LockError> lock(const std::string& path,
                                                       const std::string& owner) override;
-  Result<std::unique_ptr<FolderLock>, LockError> lockIfThere(const std::string& path) override;
+  Result<std::unique_ptr<FolderLock>, LockError> lockIfExists(const std::string& path) override;
 
  private:
   friend class FaultyOut;
--- a/lab/hand_syncer.h
+++ b/lab/hand_syncer.h
@@ -15,9 +15,9 @@
  public:
   explicit HandSyncer(Files& files, std::string folder = "/s") : files_(files), folder_(std::move(folder)) {}
   void submit(SyncJob job) override { jobs.push_back(std::move(job)); }
-  std::optional<SyncDone> collect() override {
+  std::optional<SyncResult> collect() override {
     if (done.empty()) return std::nullopt;
-    const SyncDone first = done.front();
+    const SyncResult first = done.front();
     done.pop_front();
     return first;
   }
@@ -25,7 +25,7 @@
     for (const SyncJob& job : std::exchange(jobs, {})) done.push_back(syncNow(files_, folder_, job));
   }
   std::vector<SyncJob> jobs;
-  std::deque<SyncDone> done;
+  std::deque<SyncResult> done;
 
  private:
   Files& files_;
--- a/lab/killing_files.h
+++ b/lab/killing_files.h
@@ -28,7 +28,7 @@
   }
 
   using Files::read;
-  Result<std::vector<FileSeen>, FileError> list(const std::string& folder) override {
+  Result<std::vector<FileInfo>, FileError> list(const std::string& folder) override {
     return real_.list(folder);
   }
   Result<std::string, FileError> read(const std::string& path, std::size_t most) override {
@@ -53,8 +53,8 @@
                                                       const std::string& owner) override {
     return real_.lock(path, owner);
   }
-  Result<std::unique_ptr<FolderLock>, LockError> lockIfThere(const std::string& path) override {
-    return real_.lockIfThere(path);
+  Result<std::unique_ptr<FolderLock>, LockError> lockIfExists(const std::string& path) override {
+    return real_.lockIfExists(path);
   }
 
  private:
--- a/src/audit/audit_message.cpp
+++ b/src/audit/audit_message.cpp
@@ -35,7 +35,7 @@
 void flag(Archive& ar, bool& value) {
   auto byte = static_cast<std::uint8_t>(value);
   ar(byte);
-  if (byte > 1) throw TooShort();
+  if (byte > 1) throw BufferTooShort();
   value = byte == 1;
 }
 template <typename Archive>
@@ -56,7 +56,7 @@
 
 std::string encode(const AuditMessage& message) {
   std::string bytes(1, static_cast<char>(message.what.index()));
-  TextOut out(bytes);
+  BufferOutputArchive out(bytes);
   AuditMessage copy = message;
   out(copy);
   out(hashOf(std::string_view(bytes)).low);
@@ -87,7 +87,7 @@
       return false;
   }
   try {
-    TextIn in(all.substr(1));
+    BufferInputArchive in(all.substr(1));
     in(message);
     return in.left() == 0;
   } catch (const std::exception&) {
--- a/src/audit/recorder.cpp
+++ b/src/audit/recorder.cpp
@@ -25,7 +25,7 @@
 
 std::string encode(const TrafficWindow& window) {
   std::string bytes;
-  TextOut out(bytes);
+  BufferOutputArchive out(bytes);
   out(window);
   return bytes;
 }
@@ -33,7 +33,7 @@
 bool decode(std::string_view bytes, TrafficWindow& window) {
   if (bytes.size() > kMostWindow) return false;
   try {
-    TextIn in(bytes);
+    BufferInputArchive in(bytes);
     in(window.seed, window.me, window.zone);
     std::uint32_t size = 0;
     in(size);
--- a/src/audit/rules_version.cpp
+++ b/src/audit/rules_version.cpp
@@ -15,7 +15,7 @@
 template <typename... Fields>
 std::string bytesOf(const Fields&... fields) {
   std::string bytes;
-  TextOut archive(bytes);
+  BufferOutputArchive archive(bytes);
   archive(fields...);
   return bytes;
 }
--- a/src/audit/step_codec.cpp
+++ b/src/audit/step_codec.cpp
@@ -14,27 +14,27 @@
 
 // One description of the fields serves both directions.
 template <typename Archive>
-constexpr bool kReads = std::is_same_v<Archive, TextIn>;
+constexpr bool kReads = std::is_same_v<Archive, BufferInputArchive>;
 
 // A flag or an enumeration, as one byte that is no more than its last name.
 template <typename Archive, typename T>
 void small(Archive& ar, T& value, int most) {
   auto code = static_cast<std::uint8_t>(value);
   ar(code);
-  if (code > most) throw TooShort();
+  if (code > most) throw BufferTooShort();
   if constexpr (kReads<Archive>) value = static_cast<T>(code);
 }
 template <typename Archive>
 void number(Archive& ar, double& value) {
   ar(value);
-  if (kReads<Archive> && !std::isfinite(value)) throw TooShort();
+  if (kReads<Archive> && !std::isfinite(value)) throw BufferTooShort();
 }
 template <typename Archive, typename T, typename Each>
 void list(Archive& ar, std::vector<T>& items, const Each& each) {
   auto size = static_cast<std::uint32_t>(items.size());
   ar(size);
   if constexpr (kReads<Archive>) {
-    if (size > kMostInBatch || size > ar.left()) throw TooShort();
+    if (size > kMostInBatch || size > ar.left()) throw BufferTooShort();
     items.resize(size);
   }
   for (T& item : items) each(item);
@@ -130,7 +130,7 @@
 template <typename Read>
 bool readWhole(std::string_view bytes, const Read& read) {
   try {
-    TextIn in(bytes);
+    BufferInputArchive in(bytes);
     read(in);
     return in.left() == 0;
   } catch (const std::exception&) {
@@ -183,26 +183,27 @@
 // The archives take what they write as what they would read into.
 std::string encodeEvents(double nowMs, const std::vector<Event>& events) {
   std::string bytes;
-  TextOut out(bytes);
+  BufferOutputArchive out(bytes);
   out(nowMs, static_cast<std::uint32_t>(events.size()));
   for (const Event& e : events) oneOf(out, const_cast<Event&>(e));
   return bytes;
 }
 std::string encodeActions(const std::vector<Action>& actions) {
   std::string bytes;
-  TextOut out(bytes);
+  BufferOutputArchive out(bytes);
   out(static_cast<std::uint32_t>(actions.size()));
   for (const Action& a : actions) oneOf(out, const_cast<Action&>(a));
   return bytes;
 }
 bool decodeEvents(std::string_view bytes, Batch& batch) {
-  return readWhole(bytes, [&](TextIn& in) {
+  return readWhole(bytes, [&](BufferInputArchive& in) {
     number(in, batch.nowMs);
     list(in, batch.events, [&](Event& e) { oneOf(in, e); });
   });
 }
 bool decodeActions(std::string_view bytes, std::vector<Action>& actions) {
-  return readWhole(bytes, [&](TextIn& in) { list(in, actions, [&](Action& a) { oneOf(in, a); }); });
+  return readWhole(bytes,
+                   [&](BufferInputArchive& in) { list(in, actions, [&](Action& a) { oneOf(in, a); }); });
 }
 
 std::string textOf(const Batch& batch) {
--- a/src/cli/journal_tool.cpp
+++ b/src/cli/journal_tool.cpp
@@ -27,7 +27,7 @@
   std::string fault;
 
   explicit Reading(const JournalTool& tool, const RecordVisitor& visit = nullptr) {
-    LockResult locked = lockFolderIfUsed(files, tool.folder);
+    LockResult locked = lockFolderIfLockFileExists(files, tool.folder);
     if (!locked) {
       fault = locked.error().message;
       return;
@@ -59,8 +59,8 @@
     t.doubted += !request.pending.ambiguousAttempts.empty();
     t.bodies += request.pending.body.size();
   }
-  for (const SegmentSeen& segment : found.segments) t.used += inBlocks(segment.fileBytes);
-  for (const FileSeen& other : found.others) t.used += inBlocks(other.bytes);
+  for (const SegmentInfo& segment : found.segments) t.used += roundUpToBlocks(segment.fileBytes);
+  for (const FileInfo& other : found.others) t.used += roundUpToBlocks(other.bytes);
   return t;
 }
 
@@ -144,7 +144,7 @@
   const Reading reading(tool);
   if (!reading.fault.empty()) return refuse(reading.fault, err);
   const Recovered& found = reading.found;
-  for (const SegmentSeen& s : found.segments) {
+  for (const SegmentInfo& s : found.segments) {
     const Json json = {{"segment", segmentName(s.sequence)},
                        {"created_ms", s.createdWallMs},
                        {"bytes", s.fileBytes},
@@ -207,7 +207,7 @@
     used = totalsOf(before.found).used;
     // Written anew under one set of names, what was recorded under another would change its meaning.
     const bool unnamed = std::any_of(before.found.segments.begin(), before.found.segments.end(),
-                                     [](const SegmentSeen& s) { return !s.named && s.records > 0; });
+                                     [](const SegmentInfo& s) { return !s.named && s.records > 0; });
     if (before.found.nameTables.size() + unnamed > 1)
       return refuse(
           "records of more than one configuration: only a start of the relay can bring them together", err);
@@ -221,7 +221,7 @@
                                       : std::max<std::size_t>(1000000, 2 * used);
   // Everything but the newest segment goes, however little there is to win.
   options.tuning.freeShare = 1;
-  options.tuning.mostSegments = 1;
+  options.tuning.maxSegments = 1;
   options.owner = "pid " + std::to_string(::getpid()) + ", myrtleloft journal compact";
   std::random_device random;
   options.salt = std::uint64_t{random()} << 32 | random();
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -12,7 +12,7 @@
 #include "config/settings_section.h"
 #include "fleet/bounds.h"
 #include "json/json.h"
-#include "json/place.h"
+#include "json/location.h"
 
 namespace myrtleloft {
 namespace {
@@ -173,14 +173,14 @@
   if (!root)
     rejectKey("BALANCER_CONFIG", syntaxError.starts_with("parse error at line")
                                      ? syntaxError
-                                     : withPlace(syntaxError, json::placeAt(text, errorOffset)));
+                                     : withPlace(syntaxError, json::locationAt(text, errorOffset)));
   if (root->type != Value::Type::kObject) rejectKey("BALANCER_CONFIG", "not an object (line 1, column 1)");
   try {
     return readRoot(environment, *root);
   } catch (const ConfigError& error) {
     if (!isInJsonFile(error)) throw;
     const std::string& key = error.location().key;
-    const json::Place place = json::placeOf(text, key);
+    const json::Location place = json::locationOf(text, key);
     throw ConfigError(withPlace(error.what(), place), {"", key, place.line, place.column});
   }
 }
--- a/src/config/config_errors.h
+++ b/src/config/config_errors.h
@@ -8,7 +8,7 @@
 
 #include <string>
 
-#include "json/place.h"
+#include "json/location.h"
 #include "myrtleloft/relay.h"
 
 namespace myrtleloft {
@@ -19,7 +19,7 @@
 }
 
 // `what`, with line and column.
-inline std::string withPlace(const std::string& what, const json::Place& place) {
+inline std::string withPlace(const std::string& what, const json::Location& place) {
   return what + " (line " + std::to_string(place.line) + ", column " + std::to_string(place.column) + ")";
 }
 
--- a/src/config/live_config.cpp
+++ b/src/config/live_config.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "config/config_errors.h"
-#include "json/place.h"
+#include "json/location.h"
 
 namespace myrtleloft {
 namespace {
@@ -101,7 +101,7 @@
     const std::optional<std::string> difference =
         firstDifference(appliedAtStart_, restartPart(environment_, file.text), "");
     keyNeedingRestart_ =
-        difference ? withPlace(*difference, json::placeOf(file.text, *difference)) : std::string();
+        difference ? withPlace(*difference, json::locationOf(file.text, *difference)) : std::string();
     return std::nullopt;
   } catch (const ConfigError& error) {
     return error;
--- a/src/config/settings_section.cpp
+++ b/src/config/settings_section.cpp
@@ -122,7 +122,7 @@
   table.tenants = config.tenants;
   table.zones = config.names.zones;
   const std::size_t headerBytes = Journal::headBytes(table);
-  if (headerBytes > config.diskBytes / kMaxHeadersPerDisk || headerBytes > kLongestRecord)
+  if (headerBytes > config.diskBytes / kMaxHeadersPerDisk || headerBytes > kMaxRecordBytes)
     rejectKey("settings", "the names of classes, tenants and zones would take " +
                               std::to_string(headerBytes) +
                               " bytes in each of the journal's files, more than a " +
--- a/src/copies/serialize.h
+++ b/src/copies/serialize.h
@@ -42,13 +42,13 @@
 template <typename T>
 std::string bytesOf(const T& value) {
   std::string out;
-  TextOut archive(out);
+  BufferOutputArchive archive(out);
   archive(value);
   return out;
 }
 template <typename T>
 bool read(std::string_view bytes, T& value) try {
-  TextIn in(bytes);
+  BufferInputArchive in(bytes);
   in(value);
   return in.left() == 0;
 } catch (const std::exception&) {
--- a/src/copies/voter.cpp
+++ b/src/copies/voter.cpp
@@ -18,7 +18,7 @@
 Voter::Voter(Self self, const Stored& stored, CopyStep& out) : self_(std::move(self)) {
   if (const auto at = stored.find(kSelfKey); at != stored.end()) {
     std::pair<std::uint64_t, bool> kept;
-    TextIn in(at->second);
+    BufferInputArchive in(at->second);
     in(kept.first, kept.second);
     ordinal_ = kept.first;
     votes_ = kept.second;
@@ -191,7 +191,7 @@
 
 void Voter::keepSelf(CopyStep& out) {
   std::string bytes;
-  TextOut archive(bytes);
+  BufferOutputArchive archive(bytes);
   archive(ordinal_, votes_);
   out.stores.push_back({kSelfKey, bytes});
 }
--- a/src/discovery/cached_list.cpp
+++ b/src/discovery/cached_list.cpp
@@ -51,7 +51,7 @@
     SegmentScanner scanner(bytes_, salt_, cache_format::kSequence, SegmentScanner::kUnknownEnd);
     std::size_t seen = kSegmentHeaderBytes;
     for (Piece piece = scanner.next(); piece.kind != Piece::Kind::kEnd; piece = scanner.next()) {
-      if (piece.kind == Piece::Kind::kHole) return fail(CacheFault::Reason::kCorrupt, piece.offset);
+      if (piece.kind == Piece::Kind::kCorruptBytes) return fail(CacheFault::Reason::kCorrupt, piece.offset);
       seen = piece.offset + piece.bytes;
       if (piece.kind == Piece::Kind::kRecord &&
           piece.payload.front() == static_cast<char>(cache_format::Type::kCommit))
--- a/src/discovery/endpoint_cache.cpp
+++ b/src/discovery/endpoint_cache.cpp
@@ -35,11 +35,11 @@
 void EndpointCache::begin() {
   const auto files = parts_.files.list(options_.folder);
   if (!files) return;
-  for (const FileSeen& file : *files) {
+  for (const FileInfo& file : *files) {
     if (file.name == kCacheFileName) current_.bytes = file.bytes;
     // Left by a process that ended during a rewrite.
     if (file.name == kNextName && !parts_.files.remove(path(kNextName)))
-      parts_.disk.release(inBlocks(file.bytes));
+      parts_.disk.release(roundUpToBlocks(file.bytes));
   }
 }
 
@@ -96,7 +96,7 @@
   if (!created) {
     const int error = created.error().number;
     if (error == EEXIST && !parts_.files.remove(path(kNextName)))
-      parts_.disk.release(inBlocks(std::exchange(leftoverBytes_, 0)));
+      parts_.disk.release(roundUpToBlocks(std::exchange(leftoverBytes_, 0)));
     fail({CacheOperation::kCreate, error});
     return false;
   }
@@ -118,7 +118,7 @@
   rewrite_ = RewriteState::kWriting;  // a failure discards the new file
   if (const auto error = parts_.files.rename(path(kNextName), path(kCacheFileName)))
     return fail({CacheOperation::kRename, error->number});
-  parts_.disk.release(inBlocks(current_.bytes));
+  parts_.disk.release(roundUpToBlocks(current_.bytes));
   current_ = std::exchange(next_, {});
   baseBytes_ = current_.bytes;
   rewrite_ = RewriteState::kNone;
@@ -168,10 +168,10 @@
 }
 
 bool EndpointCache::reserveGrowth(const File& file, std::size_t bytes) {
-  const std::size_t grows = inBlocks(file.bytes + bytes) - inBlocks(file.bytes);
+  const std::size_t grows = roundUpToBlocks(file.bytes + bytes) - roundUpToBlocks(file.bytes);
   // A rewrite exists beside the file that it replaces.
-  const std::size_t other = &file == &next_ ? inBlocks(current_.bytes) : 0;
-  return inBlocks(file.bytes + bytes) + other <= options_.maxBytes && parts_.disk.reserve(grows);
+  const std::size_t other = &file == &next_ ? roundUpToBlocks(current_.bytes) : 0;
+  return roundUpToBlocks(file.bytes + bytes) + other <= options_.maxBytes && parts_.disk.reserve(grows);
 }
 
 bool EndpointCache::write(File& file, const std::string& frames) {
@@ -182,7 +182,7 @@
   const auto [put, error] = file.out->append(frames);
   const std::size_t before = file.bytes;
   file.bytes += put;
-  parts_.disk.release(inBlocks(before + frames.size()) - inBlocks(file.bytes));
+  parts_.disk.release(roundUpToBlocks(before + frames.size()) - roundUpToBlocks(file.bytes));
   figures_.writtenBytes += put;
   if (!error && put == frames.size()) return true;
   fail({CacheOperation::kWrite, error ? error->number : 0});
@@ -192,7 +192,7 @@
 void EndpointCache::discardNext() {
   next_.out.reset();
   if (!parts_.files.remove(path(kNextName)))
-    parts_.disk.release(inBlocks(next_.bytes));
+    parts_.disk.release(roundUpToBlocks(next_.bytes));
   else
     leftoverBytes_ = next_.bytes;
   next_ = {};
--- a/src/discovery/endpoint_cache_format.h
+++ b/src/discovery/endpoint_cache_format.h
@@ -72,7 +72,7 @@
 void appendFrame(std::string& out, std::uint64_t salt, Type type, T record) {
   const std::size_t at = openFrame(out);
   out += static_cast<char>(type);
-  TextOut archive(out);
+  BufferOutputArchive archive(out);
   archive(record);
   closeFrame(out, at, salt, kSequence);
 }
@@ -81,7 +81,7 @@
 // unspecified.
 template <typename T>
 bool read(std::string_view payload, T& record) try {
-  TextIn archive(payload.substr(1));
+  BufferInputArchive archive(payload.substr(1));
   archive(record);
   return archive.left() == 0;
 } catch (const std::exception&) {
--- a/src/exchange/completions.cpp
+++ b/src/exchange/completions.cpp
@@ -55,7 +55,7 @@
   if (recorded || isOverdue) return parts_.notifications.add(request.pending.id, status, retryAfterMs);
   ++parts_.counters.journalFaults;
   unnotified_.push_back(request.handle());
-  const double retryMs = std::min(nowMs + parts_.journal.restMs(), request.deadlineMs);
+  const double retryMs = std::min(nowMs + parts_.journal.faultPauseMs(), request.deadlineMs);
   if (notifyTimer_ != Loop::kNoTimer && notifyTimer_.first <= retryMs) return;
   parts_.loop.cancel(notifyTimer_);
   notifyTimer_ = parts_.loop.after(retryMs - nowMs, [this] { retryFinalStatuses(); });
@@ -81,7 +81,7 @@
   parts_.sends.drop(handle.id);
   unrejected_.push_back({handle, answer});
   if (rejectTimer_ == Loop::kNoTimer)
-    rejectTimer_ = parts_.loop.after(parts_.journal.restMs(), [this] { retryRejections(); });
+    rejectTimer_ = parts_.loop.after(parts_.journal.faultPauseMs(), [this] { retryRejections(); });
 }
 
 void Completions::retryRejections() {
@@ -98,7 +98,7 @@
     close(rejection.request.id);
   }
   if (!unrejected_.empty())
-    rejectTimer_ = parts_.loop.after(parts_.journal.restMs(), [this] { retryRejections(); });
+    rejectTimer_ = parts_.loop.after(parts_.journal.faultPauseMs(), [this] { retryRejections(); });
 }
 
 void Completions::close(const std::string& id) {
--- a/src/exchange/journaled_sends.cpp
+++ b/src/exchange/journaled_sends.cpp
@@ -93,7 +93,7 @@
 
 void JournaledSends::putOff(UnrecordedSend send) {
   const double nowMs = parts_.loop.nowMs();
-  const double lookMs = std::min(nowMs + parts_.journal.restMs(), send.untilMs);
+  const double lookMs = std::min(nowMs + parts_.journal.faultPauseMs(), send.untilMs);
   putOff_.push_back(std::move(send));
   if (timer_ != Loop::kNoTimer && timer_.first <= lookMs) return;
   parts_.loop.cancel(timer_);
--- a/src/exchange/recovered.cpp
+++ b/src/exchange/recovered.cpp
@@ -27,7 +27,7 @@
 bool mayContinue(PendingRequest& pending, const std::optional<RetryPermission>& permission,
                  const Settings& settings, const WallClock& wall) {
   if (static_cast<std::size_t>(pending.classIndex) >= settings.classes.size() ||
-      pending.tenant == NameTranslation::kGone)
+      pending.tenant == NameTranslation::kUnconfigured)
     return false;
   if (pending.ambiguousAttempts.empty() || !permission) return true;
   const ClassSettings& classNow = settings.classes[static_cast<std::size_t>(pending.classIndex)];
--- a/src/fleet/frame.cpp
+++ b/src/fleet/frame.cpp
@@ -95,13 +95,13 @@
 
 std::string encodeIntroduction(const PeerIntroduction& peer) {
   std::string out;
-  TextOut archive(out);
+  BufferOutputArchive archive(out);
   archive(peer);
   return out;
 }
 
 bool decodeIntroduction(std::string_view payload, PeerIntroduction& peer) try {
-  TextIn in(payload);
+  BufferInputArchive in(payload);
   in(peer);
   return in.left() == 0 && isFleetName(peer.fleet) && isFleetName(peer.name) &&
          peer.building.size() <= kMostBuilding && peer.incarnation.life != 0 && peer.incarnation.start != 0;
--- a/src/fleet/incarnation.cpp
+++ b/src/fleet/incarnation.cpp
@@ -18,7 +18,7 @@
 
 std::string encode(const Incarnation& incarnation) {
   std::string out(kMagic);
-  TextOut archive(out);
+  BufferOutputArchive archive(out);
   archive(kVersion, incarnation.life, incarnation.start);
   archive(static_cast<std::uint64_t>(XXH3_64bits(out.data(), out.size())));
   return out;
@@ -26,7 +26,7 @@
 
 bool decode(const std::string& bytes, Incarnation& incarnation) try {
   if (bytes.compare(0, kMagic.size(), kMagic) != 0) return false;
-  TextIn in(std::string_view(bytes).substr(kMagic.size()));
+  BufferInputArchive in(std::string_view(bytes).substr(kMagic.size()));
   std::uint32_t version = 0;
   in(version, incarnation.life, incarnation.start);
   // What it would be written as: the check, the version and the length at once.
@@ -39,8 +39,8 @@
 std::size_t blocksOf(Files& files, const std::string& folder, const char* name) {
   const auto seen = files.list(folder);
   if (!seen) return 0;
-  for (const FileSeen& file : *seen)
-    if (file.name == name) return inBlocks(file.bytes);
+  for (const FileInfo& file : *seen)
+    if (file.name == name) return roundUpToBlocks(file.bytes);
   return 0;
 }
 
@@ -56,7 +56,7 @@
   }
   const std::size_t before = blocksOf(parts.files, folder, kIncarnationName);
   const std::string bytes = encode(incarnation);
-  if (!parts.disk.reserve(inBlocks(bytes.size()))) return ENOSPC;
+  if (!parts.disk.reserve(roundUpToBlocks(bytes.size()))) return ENOSPC;
   const auto out = parts.files.create(next);
   std::optional<FileError> error;
   if (out) {
@@ -68,7 +68,7 @@
   } else {
     error = out.error();
   }
-  parts.disk.release(error ? inBlocks(bytes.size()) : before);
+  parts.disk.release(error ? roundUpToBlocks(bytes.size()) : before);
   if (!error) error = parts.files.syncFolder(folder);
   return error ? error->number : 0;
 }
--- a/src/fleet/member_messages.cpp
+++ b/src/fleet/member_messages.cpp
@@ -30,7 +30,7 @@
 void load(Archive& ar, MemberReply& r) {
   std::uint8_t reached = 0;
   ar(r.number, reached, r.heardMsAgo, r.news);
-  if (reached > 1) throw TooShort();
+  if (reached > 1) throw BufferTooShort();
   r.reached = reached == 1;
 }
 
@@ -57,7 +57,7 @@
 template <typename Message>
 std::string encoded(const Message& message) {
   std::string payload;
-  TextOut out(payload);
+  BufferOutputArchive out(payload);
   out(message);
   return payload;
 }
@@ -66,7 +66,7 @@
 bool decoded(std::string_view payload, Message& out) {
   Message message;
   try {
-    TextIn in(payload);
+    BufferInputArchive in(payload);
     in(message);
     if (in.left() != 0) return false;
   } catch (const std::exception&) {
--- a/src/journal/archive.h
+++ b/src/journal/archive.h
@@ -1,8 +1,8 @@
 // cereal's archives over plain texts: fixed-size numbers in this machine's order, texts behind their length.
 //
 //   std::string bytes;
-//   TextOut(bytes)(record);                 // appends
-//   TextIn in(bytes);
+//   BufferOutputArchive(bytes)(record);                 // appends
+//   BufferInputArchive in(bytes);
 //   in(record);                             // throws a std::exception where the bytes are too short
 //   in.left()                               // bytes not read yet
 //
@@ -23,22 +23,23 @@
 namespace myrtleloft {
 
 // cereal's own archives write to streams, at several times the cost of the write(2) that follows.
-class TextOut : public cereal::OutputArchive<TextOut, cereal::AllowEmptyClassElision> {
+class BufferOutputArchive
+    : public cereal::OutputArchive<BufferOutputArchive, cereal::AllowEmptyClassElision> {
  public:
-  explicit TextOut(std::string& out) : OutputArchive(this), out_(out) {}
+  explicit BufferOutputArchive(std::string& out) : OutputArchive(this), out_(out) {}
   void bytes(const void* data, std::size_t size) { out_.append(static_cast<const char*>(data), size); }
 
  private:
   std::string& out_;
 };
 
-struct TooShort : std::exception {};
+struct BufferTooShort : std::exception {};
 
-class TextIn : public cereal::InputArchive<TextIn, cereal::AllowEmptyClassElision> {
+class BufferInputArchive : public cereal::InputArchive<BufferInputArchive, cereal::AllowEmptyClassElision> {
  public:
-  explicit TextIn(std::string_view bytes) : InputArchive(this), rest_(bytes) {}
+  explicit BufferInputArchive(std::string_view bytes) : InputArchive(this), rest_(bytes) {}
   void bytes(void* data, std::size_t size) {
-    if (size > rest_.size()) throw TooShort();
+    if (size > rest_.size()) throw BufferTooShort();
     std::memcpy(data, rest_.data(), size);
     rest_.remove_prefix(size);
   }
@@ -49,32 +50,32 @@
 };
 
 template <typename Number, std::enable_if_t<std::is_arithmetic_v<Number>, int> = 0>
-void CEREAL_SAVE_FUNCTION_NAME(TextOut& archive, const Number& value) {
+void CEREAL_SAVE_FUNCTION_NAME(BufferOutputArchive& archive, const Number& value) {
   archive.bytes(&value, sizeof value);
 }
 template <typename Number, std::enable_if_t<std::is_arithmetic_v<Number>, int> = 0>
-void CEREAL_LOAD_FUNCTION_NAME(TextIn& archive, Number& value) {
+void CEREAL_LOAD_FUNCTION_NAME(BufferInputArchive& archive, Number& value) {
   archive.bytes(&value, sizeof value);
 }
 template <typename Element>
-void CEREAL_SAVE_FUNCTION_NAME(TextOut& archive, const cereal::SizeTag<Element>& tag) {
+void CEREAL_SAVE_FUNCTION_NAME(BufferOutputArchive& archive, const cereal::SizeTag<Element>& tag) {
   archive(tag.size);
 }
 template <typename Element>
-void CEREAL_LOAD_FUNCTION_NAME(TextIn& archive, cereal::SizeTag<Element>& tag) {
+void CEREAL_LOAD_FUNCTION_NAME(BufferInputArchive& archive, cereal::SizeTag<Element>& tag) {
   archive(tag.size);
   // Each element takes a byte at least: a length beyond what is left would only reserve memory.
-  if (tag.size > archive.left()) throw TooShort();
+  if (tag.size > archive.left()) throw BufferTooShort();
 }
 template <typename Element>
-void CEREAL_SAVE_FUNCTION_NAME(TextOut& archive, const cereal::BinaryData<Element>& data) {
+void CEREAL_SAVE_FUNCTION_NAME(BufferOutputArchive& archive, const cereal::BinaryData<Element>& data) {
   archive.bytes(data.data, static_cast<std::size_t>(data.size));
 }
 template <typename Element>
-void CEREAL_LOAD_FUNCTION_NAME(TextIn& archive, cereal::BinaryData<Element>& data) {
+void CEREAL_LOAD_FUNCTION_NAME(BufferInputArchive& archive, cereal::BinaryData<Element>& data) {
   archive.bytes(data.data, static_cast<std::size_t>(data.size));
 }
 
 }  // namespace myrtleloft
 
-CEREAL_SETUP_ARCHIVE_TRAITS(myrtleloft::TextIn, myrtleloft::TextOut)
+CEREAL_SETUP_ARCHIVE_TRAITS(myrtleloft::BufferInputArchive, myrtleloft::BufferOutputArchive)
--- a/src/journal/compaction.cpp
+++ b/src/journal/compaction.cpp
@@ -18,13 +18,13 @@
 }  // namespace
 
 bool Compaction::wanted() const {
-  return distrusted() || parts_.planner.stepBytes(parts_.writer.usage()) > 0;
+  return hasUncertain() || parts_.planner.stepBytes(parts_.writer.usage()) > 0;
 }
 
 bool Compaction::step() {
-  std::size_t most = parts_.planner.tuning().mostStepBytes;
+  std::size_t most = parts_.planner.tuning().maxStepBytes;
   LiveRecords::Segment* source = nullptr;
-  if (distrusts()) {
+  if (refreshUncertain()) {
     source = &nextUncertain();
   } else {
     most = parts_.planner.stepBytes(parts_.writer.usage());
@@ -51,7 +51,7 @@
   return true;
 }
 
-void Compaction::distrustAll() {
+void Compaction::markAllUncertain() {
   // After a failed fdatasync the kernel may count the pages as clean: another one would report success for
   // bytes that are nowhere. Which requests had a record there is not known, so it is all that is pending, and
   // it goes to another file.
@@ -66,13 +66,13 @@
   };
   std::for_each(segments.rbegin(), segments.rend(), distrust);
   // What an earlier failed sync left uncertain may still stand where it did.
-  uncertainFrom_ = distrusted() ? std::min(uncertainFrom_, from) : from;
+  uncertainFrom_ = hasUncertain() ? std::min(uncertainFrom_, from) : from;
   uncertainUpTo_ = parts_.records.newest().sequence;
   parts_.writer.abandonSegment();
 }
 
-bool Compaction::distrusts() {
-  if (uncertainUpTo_ == 0 || parts_.records.firstLive(0, uncertainUpTo_) != nullptr) return distrusted();
+bool Compaction::refreshUncertain() {
+  if (uncertainUpTo_ == 0 || parts_.records.firstLive(0, uncertainUpTo_) != nullptr) return hasUncertain();
   releaseUncertain();
   uncertainUpTo_ = 0;
   trustedFrom_ = parts_.commit.position();
@@ -114,7 +114,7 @@
   const LiveRecords& records = parts_.records;
   const std::size_t segmentBytes = parts_.writer.usage().segmentBytes;
   const std::size_t left = segmentBytes - std::min(segmentBytes, records.newest().bytes);
-  const double untilMs = parts_.clock.steadyMs() + parts_.planner.tuning().mostStepMs;
+  const double untilMs = parts_.clock.steadyMs() + parts_.planner.tuning().maxStepMs;
   std::vector<Rewritten> rewritten;
   frames_.clear();
   for (std::uint32_t entry = first; entry != LiveRecords::kNone; entry = records[entry].next) {
--- a/src/journal/compaction.h
+++ b/src/journal/compaction.h
@@ -46,13 +46,13 @@
   bool step();
 
   // A sync failed: all that is live in the segments written so far has to be written anew.
-  void distrustAll();
+  void markAllUncertain();
   // Whether that is still so; clears it where nothing of them is live any more.
-  bool distrusts();
+  bool refreshUncertain();
   // The same as last looked at: nothing new may be accepted meanwhile.
-  bool distrusted() const { return uncertainUpTo_ != 0; }
+  bool hasUncertain() const { return uncertainUpTo_ != 0; }
   // From which durable position on what was written before is no longer in doubt for an earlier failed sync.
-  std::uint64_t trustedFrom() const { return trustedFrom_; }
+  std::uint64_t certainFrom() const { return trustedFrom_; }
 
  private:
   struct Rewritten {
--- a/src/journal/disk_budget.h
+++ b/src/journal/disk_budget.h
@@ -9,7 +9,7 @@
 class DiskBudget {
  public:
   virtual ~DiskBudget() = default;
-  // In complete blocks (`inBlocks`). false: there is no space for them now.
+  // In complete blocks (`roundUpToBlocks`). false: there is no space for them now.
   virtual bool reserve(std::size_t bytes) = 0;
   // Bytes taken, or of a file that was there at the start and is gone.
   virtual void release(std::size_t bytes) = 0;
--- a/src/journal/files.cpp
+++ b/src/journal/files.cpp
@@ -89,8 +89,8 @@
 
 }  // namespace
 
-Result<std::vector<FileSeen>, FileError> PosixFiles::list(const std::string& folder) {
-  std::vector<FileSeen> files;
+Result<std::vector<FileInfo>, FileError> PosixFiles::list(const std::string& folder) {
+  std::vector<FileInfo> files;
   std::error_code failure;
   std::filesystem::directory_iterator at(folder, failure);
   for (; !failure && at != std::filesystem::directory_iterator(); at.increment(failure))
@@ -148,7 +148,7 @@
   return std::unique_ptr<FolderLock>(std::make_unique<PosixLock>(std::move(fd)));
 }
 
-Result<std::unique_ptr<FolderLock>, LockError> PosixFiles::lockIfThere(const std::string& path) {
+Result<std::unique_ptr<FolderLock>, LockError> PosixFiles::lockIfExists(const std::string& path) {
   Fd fd(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (auto failure = lockFile(fd, path)) return *std::move(failure);
   return std::unique_ptr<FolderLock>(std::make_unique<PosixLock>(std::move(fd)));
--- a/src/journal/files.h
+++ b/src/journal/files.h
@@ -48,7 +48,7 @@
   std::string owner;  // what that process wrote into the file
 };
 
-struct FileSeen {
+struct FileInfo {
   std::string name;
   std::size_t bytes = 0;
 };
@@ -60,7 +60,7 @@
   virtual ~Files() = default;
 
   // The plain files in a folder, unsorted. O(entries).
-  virtual Result<std::vector<FileSeen>, FileError> list(const std::string& folder) = 0;
+  virtual Result<std::vector<FileInfo>, FileError> list(const std::string& folder) = 0;
   // The file's first bytes, `most` of them where it has as many; ENOENT where there is none. O(what is read).
   virtual Result<std::string, FileError> read(const std::string& path, std::size_t most) = 0;
   Result<std::string, FileError> read(const std::string& path) { return read(path, kUnlimited); }
@@ -75,14 +75,14 @@
   virtual Result<std::unique_ptr<FolderLock>, LockError> lock(const std::string& path,
                                                               const std::string& owner) = 0;
   // The same, but makes and writes nothing: ENOENT where there is no such file.
-  virtual Result<std::unique_ptr<FolderLock>, LockError> lockIfThere(const std::string& path) = 0;
+  virtual Result<std::unique_ptr<FolderLock>, LockError> lockIfExists(const std::string& path) = 0;
 };
 
 // The operating system's. Has no state, so any number may exist.
 class PosixFiles : public Files {
  public:
   using Files::read;
-  Result<std::vector<FileSeen>, FileError> list(const std::string& folder) override;
+  Result<std::vector<FileInfo>, FileError> list(const std::string& folder) override;
   Result<std::string, FileError> read(const std::string& path, std::size_t most) override;
   Result<std::shared_ptr<OutFile>, FileError> create(const std::string& path) override;
   std::optional<FileError> rename(const std::string& from, const std::string& to) override;
@@ -90,7 +90,7 @@
   std::optional<FileError> syncFolder(const std::string& folder) override;
   Result<std::unique_ptr<FolderLock>, LockError> lock(const std::string& path,
                                                       const std::string& owner) override;
-  Result<std::unique_ptr<FolderLock>, LockError> lockIfThere(const std::string& path) override;
+  Result<std::unique_ptr<FolderLock>, LockError> lockIfExists(const std::string& path) override;
 };
 
 }  // namespace myrtleloft
--- a/src/journal/folder_lock.cpp
+++ b/src/journal/folder_lock.cpp
@@ -26,8 +26,8 @@
   return std::move(*lock);
 }
 
-LockResult lockFolderIfUsed(Files& files, const std::string& folder) {
-  auto lock = files.lockIfThere(lockPath(folder));
+LockResult lockFolderIfLockFileExists(Files& files, const std::string& folder) {
+  auto lock = files.lockIfExists(lockPath(folder));
   if (lock) return std::move(*lock);
   if (lock.error().error.number == ENOENT) return std::unique_ptr<FolderLock>();
   return lockError(folder, lock.error());
--- a/src/journal/folder_lock.h
+++ b/src/journal/folder_lock.h
@@ -22,6 +22,6 @@
 
 // The same for a tool: records nothing, and makes no file. The pointer is empty where the folder never had a
 // lock file.
-LockResult lockFolderIfUsed(Files& files, const std::string& folder);
+LockResult lockFolderIfLockFileExists(Files& files, const std::string& folder);
 
 }  // namespace myrtleloft
--- a/src/journal/folder_reader.cpp
+++ b/src/journal/folder_reader.cpp
@@ -29,10 +29,10 @@
   auto files = files_.list(folder_);
   if (!files) return files.error();
   std::sort(files->begin(), files->end(),
-            [](const FileSeen& left, const FileSeen& right) { return left.name < right.name; });
-  for (FileSeen& file : *files) {
+            [](const FileInfo& left, const FileInfo& right) { return left.name < right.name; });
+  for (FileInfo& file : *files) {
     if (const auto sequence = segmentSequence(file.name)) {
-      SegmentSeen& segment = found_.segments.emplace_back();
+      SegmentInfo& segment = found_.segments.emplace_back();
       segment.sequence = *sequence;
       segment.fileBytes = file.bytes;
     } else {
@@ -61,7 +61,7 @@
 }
 
 FolderReader::Failure FolderReader::readHeaderOf(std::size_t at) {
-  SegmentSeen& segment = found_.segments[at];
+  SegmentInfo& segment = found_.segments[at];
   const std::string file = path(segmentName(segment.sequence));
   const auto start = files_.read(file, kSegmentHeaderBytes);
   if (!start) return start.error();
@@ -80,7 +80,7 @@
     if (header.salt != 0) found_.salt = header.salt;
     links = {header.firstSegment, static_cast<std::size_t>(header.previousBytes)};
     found_.firstSegment = std::max(found_.firstSegment, header.firstSegment);
-    if (header.tookOver != 0) found_.tookOver = header.tookOver;
+    if (header.convertedFingerprint != 0) found_.convertedFingerprint = header.convertedFingerprint;
   }
   // Made, but its header not written when the process ended: nothing can stand in it.
   if (at + 1 == found_.segments.size() && state.kind == HeaderState::Kind::kTorn) {
@@ -92,13 +92,13 @@
 }
 
 FolderReader::Failure FolderReader::readVersionOne() {
-  const auto isVersionOne = [](const FileSeen& file) { return file.name == kVersionOneName; };
+  const auto isVersionOne = [](const FileInfo& file) { return file.name == kVersionOneName; };
   if (std::none_of(found_.others.begin(), found_.others.end(), isVersionOne)) return std::nullopt;
   const auto bytes = files_.read(path(kVersionOneName));
   if (!bytes) return bytes.error();
   found_.versionOneFingerprint = fingerprint(*bytes);
   // Taken over already, but the process ended before the old file was removed.
-  if (found_.tookOver == found_.versionOneFingerprint) return std::nullopt;
+  if (found_.convertedFingerprint == found_.versionOneFingerprint) return std::nullopt;
   found_.versionOne = true;
   replayVersionOne(*bytes, replay_, found_);
   return std::nullopt;
@@ -113,7 +113,7 @@
   if (Failure failure = load(sequence)) return failure;
   SegmentScanner scanner(bytes_, found_.salt, sequence, endOf(newest - 1));
   for (Piece piece = scanner.next(); piece.kind != Piece::Kind::kEnd; piece = scanner.next()) {
-    if (piece.kind != Piece::Kind::kRecord || !recordsDeletion(piece.payload)) continue;
+    if (piece.kind != Piece::Kind::kRecord || !isSegmentsDeletedRecord(piece.payload)) continue;
     if (const std::optional<Record> record = decode(piece.payload))
       found_.firstSegment =
           std::max(found_.firstSegment, std::get<SegmentsDeletedRecord>(*record).firstSegment);
@@ -122,13 +122,13 @@
 }
 
 std::size_t FolderReader::endOf(std::size_t at) const {
-  const std::vector<SegmentSeen>& segments = found_.segments;
+  const std::vector<SegmentInfo>& segments = found_.segments;
   const bool stated = at + 1 < segments.size() && segments[at + 1].sequence == segments[at].sequence + 1;
   return stated ? links_[at + 1].previousBytes : SegmentScanner::kUnknownEnd;
 }
 
 FolderReader::Failure FolderReader::readSegment(std::size_t at) {
-  SegmentSeen& segment = found_.segments[at];
+  SegmentInfo& segment = found_.segments[at];
   if (segment.sequence < found_.firstSegment) segment.stale = true;
   if (segment.stale) return std::nullopt;
   reportMissingBefore(at);
@@ -138,7 +138,7 @@
   for (Piece piece = scanner.next(); piece.kind != Piece::Kind::kEnd; piece = scanner.next()) {
     if (piece.kind == Piece::Kind::kRecord)
       readRecord(piece, segment);
-    else if (piece.kind == Piece::Kind::kHole)
+    else if (piece.kind == Piece::Kind::kCorruptBytes)
       reportCorruption(piece, segment, piece.bytes > 0 ? "damaged" : "cut off");
     else if (mayBeTorn(at))
       found_.torn += piece.bytes;
@@ -159,7 +159,7 @@
   }
 }
 
-void FolderReader::beginSegment(SegmentSeen& segment) {
+void FolderReader::beginSegment(SegmentInfo& segment) {
   const std::size_t header = std::min(bytes_.size(), kSegmentHeaderBytes);
   if (!segment.headerGood) reportCorruption(segmentName(segment.sequence), 0, header, "damaged");
   segment.validBytes = header;
@@ -172,7 +172,7 @@
     replay_.beginUnnamedSegment();
 }
 
-void FolderReader::readRecord(const Piece& piece, SegmentSeen& segment) {
+void FolderReader::readRecord(const Piece& piece, SegmentInfo& segment) {
   std::optional<Record> record = decode(piece.payload);
   if (!record) return reportCorruption(piece, segment, "damaged");
   segment.validBytes = piece.offset + piece.bytes;
@@ -181,7 +181,7 @@
   replay_.apply(segment.sequence, *record);
 }
 
-void FolderReader::countRecord(const Record& record, const Piece& piece, SegmentSeen& segment) {
+void FolderReader::countRecord(const Record& record, const Piece& piece, SegmentInfo& segment) {
   const auto* table = std::get_if<NameTableRecord>(&record);
   if (!table && !std::holds_alternative<ClockRecord>(record)) {
     ++segment.records;
@@ -197,10 +197,10 @@
 void FolderReader::reportCorruption(const std::string& file, std::size_t offset, std::size_t bytes,
                                     const char* what) {
   found_.corruptions.push_back({file, offset, bytes, what});
-  replay_.hole();
+  replay_.noteCorruption();
 }
 
-void FolderReader::reportCorruption(const Piece& piece, SegmentSeen& segment, const char* what) {
+void FolderReader::reportCorruption(const Piece& piece, SegmentInfo& segment, const char* what) {
   reportCorruption(segmentName(segment.sequence), piece.offset, piece.bytes, what);
   segment.validBytes = piece.offset + piece.bytes;
 }
--- a/src/journal/folder_reader.h
+++ b/src/journal/folder_reader.h
@@ -44,11 +44,11 @@
   Failure readSegment(std::size_t at);
 
   void reportMissingBefore(std::size_t at);
-  void beginSegment(SegmentSeen& segment);
-  void readRecord(const Piece& piece, SegmentSeen& segment);
-  void countRecord(const Record& record, const Piece& piece, SegmentSeen& segment);
+  void beginSegment(SegmentInfo& segment);
+  void readRecord(const Piece& piece, SegmentInfo& segment);
+  void countRecord(const Record& record, const Piece& piece, SegmentInfo& segment);
   void reportCorruption(const std::string& file, std::size_t offset, std::size_t bytes, const char* what);
-  void reportCorruption(const Piece& piece, SegmentSeen& segment, const char* what);
+  void reportCorruption(const Piece& piece, SegmentInfo& segment, const char* what);
 
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
   // How much of a segment is the journal's, if the one behind it states that.
--- a/src/journal/group_commit.cpp
+++ b/src/journal/group_commit.cpp
@@ -17,9 +17,9 @@
   syncer_->submit(std::move(job));
 }
 
-std::optional<SyncDone> GroupCommit::collect() {
+std::optional<SyncResult> GroupCommit::collect() {
   if (!syncer_) return std::nullopt;
-  std::optional<SyncDone> done = syncer_->collect();
+  std::optional<SyncResult> done = syncer_->collect();
   if (!done) return std::nullopt;
   syncing_ = false;
   if (!done->error) durable_ = done->position;
--- a/src/journal/group_commit.h
+++ b/src/journal/group_commit.h
@@ -38,7 +38,7 @@
   bool canSubmit() const { return syncer_ && !syncing_ && !unsynced_.empty(); }
   void submit();
   // The next sync that has ended; nothing where there is none. A failed one leaves `durable` as it was.
-  std::optional<SyncDone> collect();
+  std::optional<SyncResult> collect();
 
  private:
   Syncer* syncer_;
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -29,7 +29,7 @@
       planner_(options.tuning),
       options_(withSegmentSize(std::move(options), planner_)),
       clock_(parts.clock),
-      faults_(parts.clock, parts.log, planner_.tuning().restMs, statistics_.faults),
+      faults_(parts.clock, parts.log, planner_.tuning().faultPauseMs, statistics_.faults),
       commit_(parts.syncer),
       writer_(
           {parts.files, parts.clock, clock_, options_, planner_, faults_, commit_, records_, statistics_}),
@@ -57,7 +57,7 @@
 
 bool Journal::recordAccepted(PendingRequest& request) {
   const std::size_t bytes = recordBytes(request);
-  if (faults_.pausing() || compaction_.distrusted() || bytes > kLongestRecord) return false;
+  if (faults_.pausing() || compaction_.hasUncertain() || bytes > kMaxRecordBytes) return false;
   writeCompletions();
   // An id that comes again must not meet the completion of its predecessor behind it.
   if (!unrecordedCompletions_.empty()) return false;
@@ -97,7 +97,7 @@
   writeCompletions();
   const std::size_t grows = encodedSize(attempt);
   AttemptRecord made{request.id, std::move(attempt)};
-  if (!record(made, entry, grows, planner_.tuning().lastReserve)) return false;
+  if (!record(made, entry, grows, planner_.tuning().completionReserve)) return false;
   ++request.attempts;
   request.ambiguousAttempts.push_back(std::move(made.attempt));
   records_.setLive(entry, records_[entry].live + grows);
@@ -114,7 +114,7 @@
   const std::size_t live = records_[entry].live;
   records_.setLive(entry, live - std::min(live, encodedSize(attempt)));
   const NotExecutedRecord proof{request.id, attempt.attempt};
-  if (record(proof, entry, 0, planner_.tuning().lastReserve)) return true;
+  if (record(proof, entry, 0, planner_.tuning().completionReserve)) return true;
   request.recordedAsAmbiguous = true;
   return false;
 }
@@ -164,17 +164,17 @@
   if (unattached_ > 0) return true;
   if (faults_.pausing() || !writer_.begun()) return false;
   writeCompletions();
-  const bool distrusted = compaction_.distrusts();
+  const bool hasUncertain = compaction_.refreshUncertain();
   const bool good = compaction_.step();
   // Segments go only after a sync of what was written anew, and their space is needed for more of it. It
   // promises nothing until all of that is done.
-  if (distrusted && !faults_.pausing()) commit_.submit();
+  if (hasUncertain && !faults_.pausing()) commit_.submit();
   return good;
 }
 
 void Journal::sync() {
   // What a failed sync left uncertain is safe only when it has been rewritten: no promise before that.
-  if (!commit_.canSubmit() || compaction_.distrusts()) return;
+  if (!commit_.canSubmit() || compaction_.refreshUncertain()) return;
   commit_.submit();
 }
 
@@ -186,7 +186,7 @@
     good = false;
     faults_.report({"sync", options_.folder, done->error->number});
     durableBeforeFault_ = durable();
-    compaction_.distrustAll();
+    compaction_.markAllUncertain();
   }
   sync();
   return good;
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -121,7 +121,7 @@
   // `process` both are always the same.
   std::uint64_t position() const { return commit_.position(); }
   std::uint64_t durable() const {
-    const bool trusted = !compaction_.distrusted() && commit_.durable() >= compaction_.trustedFrom();
+    const bool trusted = !compaction_.hasUncertain() && commit_.durable() >= compaction_.certainFrom();
     return trusted ? commit_.durable() : durableBeforeFault_;
   }
   // Sends what is written and not yet stored to be synced, unless a sync is running. Cheap; once per round of
@@ -139,7 +139,7 @@
   const JournalStatistics& statistics() const { return statistics_; }
   DiskUsage usage() const { return writer_.usage(); }
   // How long to wait after a failure before trying again makes sense, in ms.
-  double restMs() const { return planner_.tuning().restMs; }
+  double faultPauseMs() const { return planner_.tuning().faultPauseMs; }
 
  private:
   static constexpr std::uint32_t kNone = LiveRecords::kNone;
--- a/src/journal/journal_opening.cpp
+++ b/src/journal/journal_opening.cpp
@@ -42,7 +42,7 @@
   quarantine_.read(found);
   adopt(found);
   if (found.versionOne)
-    if (Failure failure = takeOverVersionOne(found)) return *failure;
+    if (Failure failure = convertVersionOne(found)) return *failure;
   removeVersionOne(found);
   // Requests of which only the name is left stand in no complete record: they must, before damage is removed.
   if (!parts_.writer.begin() && found.bodiesLost > 0)
@@ -74,22 +74,22 @@
 
 void JournalOpening::adopt(Recovered& found) {
   parts_.writer.resume({found.salt != 0 ? found.salt : std::max<std::uint64_t>(1, parts_.options.salt),
-                        found.tookOver, found.firstSegment});
+                        found.convertedFingerprint, found.firstSegment});
   adoptOtherFiles(found);
   adoptSegments(found);
   adoptRequests(found);
 }
 
 void JournalOpening::adoptOtherFiles(const Recovered& found) {
-  for (const FileSeen& other : found.others) {
+  for (const FileInfo& other : found.others) {
     // Of a takeover that did not come to its end.
     if (other.name == kTakeoverName && !parts_.files.remove(parts_.options.path(other.name))) continue;
-    parts_.writer.addUsed(inBlocks(other.bytes));
+    parts_.writer.addUsed(roundUpToBlocks(other.bytes));
   }
 }
 
 void JournalOpening::adoptSegments(const Recovered& found) {
-  for (const SegmentSeen& seen : found.segments) {
+  for (const SegmentInfo& seen : found.segments) {
     const bool last = seen.sequence == found.segments.back().sequence;
     // Nothing stands in it: its number is given again. Otherwise each restart would leave a segment.
     const bool empty =
@@ -97,7 +97,7 @@
     const std::string path = parts_.options.path(segmentName(seen.sequence));
     if (last && empty && !parts_.files.remove(path)) break;
     parts_.records.addSegment(seen.sequence, seen.validBytes, seen.fileBytes);
-    parts_.writer.addUsed(inBlocks(seen.fileBytes));
+    parts_.writer.addUsed(roundUpToBlocks(seen.fileBytes));
   }
 }
 
@@ -105,16 +105,16 @@
   for (RecoveredRequest& recovered : found.pending) {
     PendingRequest& request = recovered.pending;
     // How much of its reserve it has used is not known; what its end needs is always reserved.
-    request.journalEntry = parts_.records.add(&request, parts_.planner.tuning().lastReserve);
+    request.journalEntry = parts_.records.add(&request, parts_.planner.tuning().completionReserve);
     if (LiveRecords::Segment* segment = parts_.records.find(recovered.segment))
       parts_.records.place(request.journalEntry, *segment, recordBytes(request));
   }
 }
 
-JournalOpening::Failure JournalOpening::takeOverVersionOne(Recovered& found) {
+JournalOpening::Failure JournalOpening::convertVersionOne(Recovered& found) {
   // The segment gets its name only when it is complete, and names the old file by its fingerprint: a process
   // that ends before the old file is removed does not read it again.
-  parts_.writer.setTookOver(found.versionOneFingerprint);
+  parts_.writer.setConvertedFingerprint(found.versionOneFingerprint);
   const SegmentHeader header = parts_.writer.nextHeader();
   std::string bytes = parts_.writer.encodeStart(header);
   for (const RecoveredRequest& request : found.pending) {
@@ -126,7 +126,7 @@
   const JournalOptions& options = parts_.options;
   const std::string path = options.path(kTakeoverName);
   const FileError failure{"take over the journal of version 1 in", options.folder, ENOSPC};
-  if (parts_.writer.used() + inBlocks(bytes.size()) > options.diskBytes) return failure;
+  if (parts_.writer.used() + roundUpToBlocks(bytes.size()) > options.diskBytes) return failure;
   auto file = parts_.files.create(path);
   std::optional<FileError> error;
   if (!file) error = file.error();
@@ -151,15 +151,15 @@
 }
 
 void JournalOpening::removeVersionOne(const Recovered& found) {
-  for (const FileSeen& other : found.others) {
+  for (const FileInfo& other : found.others) {
     const bool versionOne = other.name == kVersionOneName;
     if (!versionOne && other.name != kVersionOneLeftover) continue;
     if (const auto error = parts_.files.remove(parts_.options.path(other.name))) {
       parts_.faults.report({"remove", other.name, error->number});
       continue;
     }
-    if (versionOne) parts_.writer.setTookOver(0);
-    parts_.writer.removeUsed(inBlocks(other.bytes));
+    if (versionOne) parts_.writer.setConvertedFingerprint(0);
+    parts_.writer.removeUsed(roundUpToBlocks(other.bytes));
   }
 }
 
--- a/src/journal/journal_opening.h
+++ b/src/journal/journal_opening.h
@@ -54,7 +54,7 @@
   void adoptSegments(const Recovered& found);
   void adoptRequests(Recovered& found);
   // Writes the requests of a version 1 file into a segment of their own.
-  Failure takeOverVersionOne(Recovered& found);
+  Failure convertVersionOne(Recovered& found);
   void removeVersionOne(const Recovered& found);
   // Writes the requests of which only the name is left, which stand in no record yet.
   void writeRequestsWithoutBody(Recovered& found);
--- a/src/journal/name_table.cpp
+++ b/src/journal/name_table.cpp
@@ -28,14 +28,15 @@
   std::vector<std::string> classes;
   for (const ClassEntry& cls : now.classes) classes.push_back(cls.name);
   for (const ClassEntry& cls : recorded.classes) {
-    classes_.push_back(numberOf(classes, cls.name, kGone));
+    classes_.push_back(numberOf(classes, cls.name, kUnconfigured));
     RetryPermission& permission = permissions_.emplace_back();
     permission.idempotency = cls.idempotency;
     if (cls.idempotency != Idempotency::kIdempotentWithKey) continue;
     permission.deduplicationScope = cls.deduplicationScope;
     permission.idempotencyWindowMs = cls.idempotencyWindowMs;
   }
-  for (const std::string& name : recorded.tenants) tenants_.push_back(numberOf(now.tenants, name, kGone));
+  for (const std::string& name : recorded.tenants)
+    tenants_.push_back(numberOf(now.tenants, name, kUnconfigured));
   for (const std::string& name : recorded.zones)
     zones_.push_back(numberOf(now.zones, name, RecordedAttempt::kLostZone));
 }
@@ -43,9 +44,9 @@
 RetryPermission NameTranslation::apply(PendingRequest& request) const {
   const auto at = static_cast<std::size_t>(request.classIndex);
   const RetryPermission permission = at < permissions_.size() ? permissions_[at] : RetryPermission();
-  request.classIndex = mapped(classes_, request.classIndex, kGone);
+  request.classIndex = mapped(classes_, request.classIndex, kUnconfigured);
   // Without tenants every request has number 0, which names nobody.
-  if (hadTenants_) request.tenant = mapped(tenants_, request.tenant, kGone);
+  if (hadTenants_) request.tenant = mapped(tenants_, request.tenant, kUnconfigured);
   for (RecordedAttempt& attempt : request.ambiguousAttempts) attempt.zone = zone(attempt.zone);
   return permission;
 }
--- a/src/journal/name_table.h
+++ b/src/journal/name_table.h
@@ -32,7 +32,7 @@
  public:
   // The number of a class or tenant whose name is gone: nothing of it can be sent any more. Of a zone it is
   // RecordedAttempt::kLostZone, which no endpoint is in.
-  static constexpr int kGone = -1;
+  static constexpr int kUnconfigured = -1;
 
   // `recorded` empty: the names were lost with a damaged part, and all that has one counts as gone.
   NameTranslation(const NameTable& recorded, const NameTable& now);
--- a/src/journal/pending_table.h
+++ b/src/journal/pending_table.h
@@ -31,7 +31,7 @@
 struct RecoveredRequest {
   PendingRequest pending;
   std::uint64_t segment = 0;  // where its newest complete record stands; 0: in none, only the version 1 file
-  std::uint64_t holesKnown = 0;  // no attempt before that many damaged parts is missing
+  std::uint64_t corruptionsSeen = 0;  // no attempt before that many damaged parts is missing
   // By what the class meant when its records were written; none: what it means now.
   std::optional<RetryPermission> permission;
   // Its times are as this process would have recorded them; false: they are those of a wall clock that may
--- a/src/journal/planner.h
+++ b/src/journal/planner.h
@@ -25,7 +25,7 @@
 
 constexpr std::size_t kDiskBlock = 512;  // what the platform counts files in
 
-constexpr std::size_t inBlocks(std::size_t bytes) {
+constexpr std::size_t roundUpToBlocks(std::size_t bytes) {
   return (bytes + kDiskBlock - 1) / kDiskBlock * kDiskBlock;
 }
 
@@ -41,34 +41,34 @@
   std::size_t perRequestReserve = 512;
   // Of it, what only the final status and the completion may use: a request that has used up its attempts'
   // part can always still be completed.
-  std::size_t lastReserve = 160;
+  std::size_t completionReserve = 160;
   // Compaction runs while less than this share of the disk is free. More compacts earlier, and so copies more
   // requests that would have been completed by themselves.
   double freeShare = 0.25;
   // A round must win back at least this part of what is live, and two segments: it copies all that is live.
   // Without it, a journal set to leave much free wrote twelve bytes for each one accepted.
-  double leastGain = 0.125;
+  double minGainShare = 0.125;
   // Bounds of a step of compaction.
-  std::size_t mostStepBytes = std::size_t{256} * 1024;
-  std::size_t leastStepBytes = std::size_t{16} * 1024;
+  std::size_t maxStepBytes = std::size_t{256} * 1024;
+  std::size_t minStepBytes = std::size_t{16} * 1024;
   // And so long at most, in ms: on a machine that gives the process a part of a core, bytes alone bound
   // nothing.
-  double mostStepMs = 0.5;
+  double maxStepMs = 0.5;
   // How much faster than just in time a round must go, since the load may grow while it lasts.
-  double haste = 2;
+  double paceFactor = 2;
   // After a failure of the disk, new requests are rejected and compaction pauses for so long, in ms: each try
   // costs calls into a file system that is failing. What is pending goes on trying. Longer comes back later.
-  double restMs = 250;
+  double faultPauseMs = 250;
   // Damaged bytes are quarantined in this part of the disk at most, and in so many files; the oldest go.
   std::size_t quarantinePerDisk = 32;
-  std::size_t mostQuarantined = 16;
+  std::size_t maxQuarantinedFiles = 16;
   // More segments than this are rewritten whatever is free: each restart adds one.
-  std::size_t mostSegments = 96;
+  std::size_t maxSegments = 96;
   // A segment is this part of the disk, between the least and the most. Smaller ones free space in smaller
   // steps, but each costs up to a block and a header.
   std::size_t segmentsPerDisk = 16;
-  std::size_t leastSegment = 4096;
-  std::size_t mostSegment = std::size_t{8} * 1024 * 1024;
+  std::size_t minSegmentBytes = 4096;
+  std::size_t maxSegmentBytes = std::size_t{8} * 1024 * 1024;
 };
 
 // How the folder's limit is used, in bytes.
@@ -82,7 +82,7 @@
   std::size_t segments = 0;                     // their number, with the one that is written
   std::size_t headBytes = kSegmentHeaderBytes;  // what each segment begins with
   std::size_t oldestLive = 0;                   // live bytes of the oldest segment
-  std::size_t sinceStep = 0;                    // appended since the last step
+  std::size_t appendedSinceStep = 0;            // appended since the last step
 };
 
 class JournalPlanner {
--- a/src/journal/quarantine.cpp
+++ b/src/journal/quarantine.cpp
@@ -23,7 +23,7 @@
 
 void Quarantine::read(const Recovered& found) {
   for (const Corruption& corruption : found.corruptions) {
-    if (corruption.bytes == 0 || corrupt_.size() >= parts_.planner.tuning().mostQuarantined) continue;
+    if (corruption.bytes == 0 || corrupt_.size() >= parts_.planner.tuning().maxQuarantinedFiles) continue;
     const auto bytes = parts_.files.read(parts_.options.path(corruption.file));
     if (!bytes || corruption.offset >= bytes->size()) continue;
     corrupt_.push_back({quarantineName(corruption),
@@ -32,13 +32,13 @@
 }
 
 void Quarantine::store(const Recovered& found) {
-  for (const FileSeen& other : found.others) {
+  for (const FileInfo& other : found.others) {
     if (!other.name.starts_with(kQuarantinePrefix)) continue;
     stored_.push_back(other);
-    storedBytes_ += inBlocks(other.bytes);
+    storedBytes_ += roundUpToBlocks(other.bytes);
   }
   for (const CorruptBytes& corrupt : corrupt_) {
-    const auto isThere = [&](const FileSeen& file) { return file.name == corrupt.name; };
+    const auto isThere = [&](const FileInfo& file) { return file.name == corrupt.name; };
     if (std::any_of(stored_.begin(), stored_.end(), isThere)) continue;
     if (!makeSpace(corrupt.bytes.size()) || !write(corrupt)) return;
     parts_.log.write(LogLevel::kWarning, "journal.quarantined",
@@ -47,15 +47,16 @@
 }
 
 bool Quarantine::makeSpace(std::size_t bytes) {
-  const std::size_t mostFiles = parts_.planner.tuning().mostQuarantined;
-  while (!stored_.empty() && (storedBytes_ + inBlocks(bytes) > mostBytes_ || stored_.size() >= mostFiles)) {
-    const FileSeen& oldest = stored_.front();
+  const std::size_t mostFiles = parts_.planner.tuning().maxQuarantinedFiles;
+  while (!stored_.empty() &&
+         (storedBytes_ + roundUpToBlocks(bytes) > mostBytes_ || stored_.size() >= mostFiles)) {
+    const FileInfo& oldest = stored_.front();
     if (parts_.files.remove(parts_.options.path(oldest.name))) return false;
-    storedBytes_ -= inBlocks(oldest.bytes);
-    parts_.writer.removeUsed(inBlocks(oldest.bytes));
+    storedBytes_ -= roundUpToBlocks(oldest.bytes);
+    parts_.writer.removeUsed(roundUpToBlocks(oldest.bytes));
     stored_.erase(stored_.begin());
   }
-  return storedBytes_ + inBlocks(bytes) <= mostBytes_ &&
+  return storedBytes_ + roundUpToBlocks(bytes) <= mostBytes_ &&
          parts_.planner.permits(parts_.writer.usage(), bytes, 0);
 }
 
@@ -66,8 +67,8 @@
     return false;
   }
   const auto [put, error] = (*file)->append(corrupt.bytes);
-  parts_.writer.addUsed(inBlocks(put));
-  storedBytes_ += inBlocks(put);
+  parts_.writer.addUsed(roundUpToBlocks(put));
+  storedBytes_ += roundUpToBlocks(put);
   stored_.push_back({corrupt.name, put});
   if (!error) return true;
   parts_.faults.report({"write", corrupt.name, error->number});
--- a/src/journal/quarantine.h
+++ b/src/journal/quarantine.h
@@ -54,7 +54,7 @@
   Parts parts_;
   std::size_t mostBytes_;  // of all files, in blocks
   std::vector<CorruptBytes> corrupt_;
-  std::vector<FileSeen> stored_;
+  std::vector<FileInfo> stored_;
   std::size_t storedBytes_ = 0;  // in blocks
 };
 
--- a/src/journal/records.cpp
+++ b/src/journal/records.cpp
@@ -77,7 +77,7 @@
 template <typename RecordType>
 void put(Type type, const RecordType& record, std::string& out) {
   out += static_cast<char>(type);
-  TextOut archive(out);
+  BufferOutputArchive archive(out);
   archive(record);
 }
 
@@ -103,13 +103,13 @@
 
 // In place: a request is moved around often enough.
 template <typename RecordType>
-bool get(TextIn& archive, std::optional<Record>& record) {
+bool get(BufferInputArchive& archive, std::optional<Record>& record) {
   auto& read = std::get<RecordType>(record.emplace(std::in_place_type<RecordType>));
   archive(read);
   return archive.left() == 0 && isValid(read);
 }
 
-bool get(Type type, TextIn& archive, std::optional<Record>& record) {
+bool get(Type type, BufferInputArchive& archive, std::optional<Record>& record) {
   switch (type) {
     case Type::kAccepted:
       return get<AcceptedRecord>(archive, record);
@@ -148,7 +148,7 @@
   std::optional<Record> record;
   if (payload.empty()) return record;
   try {
-    TextIn archive(payload.substr(1));
+    BufferInputArchive archive(payload.substr(1));
     if (!get(static_cast<Type>(payload.front()), archive, record)) record.reset();
   } catch (const std::exception&) {
     record.reset();
@@ -156,7 +156,7 @@
   return record;
 }
 
-bool recordsDeletion(std::string_view payload) {
+bool isSegmentsDeletedRecord(std::string_view payload) {
   return !payload.empty() && static_cast<Type>(payload.front()) == Type::kSegmentsDeleted;
 }
 
--- a/src/journal/records.h
+++ b/src/journal/records.h
@@ -129,7 +129,7 @@
 // Nothing: not a record of ours, or not exactly one.
 std::optional<Record> decode(std::string_view payload);
 // Whether the bytes, if they are a record of ours, are a SegmentsDeletedRecord. O(1).
-bool recordsDeletion(std::string_view payload);
+bool isSegmentsDeletedRecord(std::string_view payload);
 
 // How many bytes `encode` appends for it.
 std::size_t encodedSize(const PendingRequest& request);
--- a/src/journal/recovery.h
+++ b/src/journal/recovery.h
@@ -40,7 +40,7 @@
   std::string what;  // "damaged", "missing", "cut off"
 };
 
-struct SegmentSeen {
+struct SegmentInfo {
   std::uint64_t sequence = 0;
   std::size_t fileBytes = 0;  // on the disk
   // How much of it is the journal's, damaged parts included; only a torn end is not. The next segment's
@@ -56,18 +56,18 @@
 
 struct Recovered {
   PendingTable pending;
-  std::vector<SegmentSeen> segments;  // by sequence
+  std::vector<SegmentInfo> segments;  // by sequence
   std::vector<Corruption> corruptions;
-  std::uint64_t firstSegment = 1;  // the oldest still needed
-  std::uint64_t salt = 0;          // 0: no segment states one
-  std::uint64_t tookOver = 0;      // the newest fingerprint that any segment names
-  bool versionOne = false;         // a version 1 file is there and not yet taken over
+  std::uint64_t firstSegment = 1;          // the oldest still needed
+  std::uint64_t salt = 0;                  // 0: no segment states one
+  std::uint64_t convertedFingerprint = 0;  // the newest fingerprint that any segment names
+  bool versionOne = false;                 // a version 1 file is there and not yet taken over
   std::uint64_t versionOneFingerprint = 0;
   std::size_t torn = 0;           // bytes of a record cut off by the end of the process
   std::size_t madeAmbiguous = 0;  // requests that got an ambiguous attempt because of damage
   std::size_t bodiesLost = 0;     // requests of which only the name is left
   std::size_t records = 0;
-  std::vector<FileSeen> others;       // files that are no segments
+  std::vector<FileInfo> others;       // files that are no segments
   std::vector<NameTable> nameTables;  // each that any segment states, once
 };
 
--- a/src/journal/replay.cpp
+++ b/src/journal/replay.cpp
@@ -65,7 +65,7 @@
   request.permission = permission;
   request.timesKnown = shiftMs_.has_value();
   request.segment = segment_;
-  request.holesKnown = holes_;
+  request.corruptionsSeen = corruptionCount_;
 }
 
 void Replay::on(AttemptRecord& record) {
@@ -75,8 +75,8 @@
   const int number = record.attempt.attempt;
   // With damage since its last record, a number left out is an attempt that stood there; a number that
   // follows proves that there was none.
-  if (request->holesKnown != holes_ && number > pending.attempts) addLostAttempt(pending);
-  request->holesKnown = holes_;
+  if (request->corruptionsSeen != corruptionCount_ && number > pending.attempts) addLostAttempt(pending);
+  request->corruptionsSeen = corruptionCount_;
   pending.attempts = std::max(pending.attempts, number + 1);
   if (translation_) {
     record.attempt.zone = translation_->zone(record.attempt.zone);
@@ -123,12 +123,13 @@
   if (clock_) shiftMs_ = shiftMs(record.anchor, *clock_);
 }
 
-void Replay::hole() { ++holes_; }
+void Replay::noteCorruption() { ++corruptionCount_; }
 
 void Replay::finish(Recovered& found) {
-  if (holes_ > 0) {
+  if (corruptionCount_ > 0) {
     for (RecoveredRequest& request : pending_) {
-      if (request.holesKnown == holes_ || request.pending.status != FinalStatus::kUndecided) continue;
+      if (request.corruptionsSeen == corruptionCount_ || request.pending.status != FinalStatus::kUndecided)
+        continue;
       addLostAttempt(request.pending);
       ++found.madeAmbiguous;
     }
--- a/src/journal/replay.h
+++ b/src/journal/replay.h
@@ -33,7 +33,7 @@
   // Takes what it needs out of `record`.
   void apply(std::uint64_t segment, Record& record);
   // Any record may be missing between those applied so far and those to come.
-  void hole();
+  void noteCorruption();
   // Ends the replay: gives an ambiguous attempt to each request that may have lost one, and brings back those
   // of which only the name is left.
   void finish(Recovered& found);
@@ -57,7 +57,7 @@
   std::optional<double> shiftMs_;               // from the segment's times to those of now; none: not known
   PendingTable pending_;
   std::map<std::string, FinalStatus, std::less<>> withoutBody_;  // named by records, but never accepted
-  std::uint64_t holes_ = 0;
+  std::uint64_t corruptionCount_ = 0;
   std::uint64_t segment_ = 0;
 };
 
--- a/src/journal/segment.cpp
+++ b/src/journal/segment.cpp
@@ -69,7 +69,7 @@
   put(copy, header.createdWallMs);
   put(copy, header.firstSegment);
   put(copy, header.previousBytes);
-  put(copy, header.tookOver);
+  put(copy, header.convertedFingerprint);
   put(copy, hash(copy, 0));
   return copy + copy;
 }
@@ -102,7 +102,7 @@
     state.header.createdWallMs = get<double>(copy, 32);
     state.header.firstSegment = get<std::uint64_t>(copy, 40);
     state.header.previousBytes = get<std::uint64_t>(copy, 48);
-    state.header.tookOver = get<std::uint64_t>(copy, 56);
+    state.header.convertedFingerprint = get<std::uint64_t>(copy, 56);
     return state;
   }
   return state;
@@ -161,7 +161,7 @@
     return frame;
   }
   const auto length = get<std::uint32_t>(rest, 4);
-  if (rest.substr(0, kMark.size()) != kMark || length > kLongestRecord ||
+  if (rest.substr(0, kMark.size()) != kMark || length > kMaxRecordBytes ||
       get<std::uint16_t>(rest, 2) != lengthCheck(length, seed_))
     return frame;
   if (rest.size() - kFrameBytes < length) {
@@ -180,7 +180,7 @@
   if (at_ >= bytes_.size()) {
     // Cut off behind a complete record: only the segment behind it can show that.
     if (endKnown && std::max(at_, bytes_.size()) < end_) {
-      piece.kind = Piece::Kind::kHole;
+      piece.kind = Piece::Kind::kCorruptBytes;
       at_ = end_;
     }
     return piece;
@@ -201,7 +201,7 @@
     break;
   }
   const bool torn = frame.torn && found == bytes_.size() && !endKnown;
-  piece.kind = torn ? Piece::Kind::kTorn : Piece::Kind::kHole;
+  piece.kind = torn ? Piece::Kind::kTorn : Piece::Kind::kCorruptBytes;
   piece.bytes = found - at_;
   at_ = found;
   // A hole at the end is reported once, also where bytes are missing behind it.
--- a/src/journal/segment.h
+++ b/src/journal/segment.h
@@ -28,7 +28,7 @@
 constexpr std::uint32_t kUnnamedVersion = 2;  // without names: its numbers mean what they mean now
 constexpr std::size_t kSegmentHeaderBytes = 144;
 constexpr std::size_t kFrameBytes = 12;
-constexpr std::size_t kLongestRecord = std::size_t{256} * 1024;  // a longer one cannot be ours
+constexpr std::size_t kMaxRecordBytes = std::size_t{256} * 1024;  // a longer one cannot be ours
 
 struct SegmentHeader {
   std::uint64_t sequence = 0;
@@ -37,7 +37,8 @@
   std::uint64_t firstSegment = 0;   // the oldest that was still needed when this one began
   std::uint64_t previousBytes = 0;  // how much of the one before is the journal's
   std::uint32_t version = kUnnamedVersion;
-  std::uint64_t tookOver = 0;  // fingerprint of a version 1 file whose requests stand here; 0: none
+  std::uint64_t convertedFingerprint =
+      0;  // fingerprint of a version 1 file whose requests stand here; 0: none
 };
 
 // The first 16 bytes of a header, the same in every version.
@@ -74,8 +75,8 @@
 struct Piece {
   enum class Kind {
     kRecord,
-    kHole,  // damaged bytes, up to the next good record or the end
-    kTorn,  // the last record was being written when the process ended; nothing was promised on it
+    kCorruptBytes,  // damaged bytes, up to the next good record or the end
+    kTorn,          // the last record was being written when the process ended; nothing was promised on it
     kEnd
   };
   Kind kind = Kind::kEnd;
--- a/src/journal/segment_writer.cpp
+++ b/src/journal/segment_writer.cpp
@@ -45,7 +45,7 @@
   header.firstSegment = records.empty() ? header.sequence : records.oldest().sequence;
   header.firstSegment = std::max(header.firstSegment, history_.firstSegment);
   header.previousBytes = records.empty() ? 0 : records.newest().bytes;
-  header.tookOver = history_.tookOver;
+  header.convertedFingerprint = history_.convertedFingerprint;
   return header;
 }
 
@@ -65,7 +65,7 @@
   const std::string name = segmentName(header.sequence);
   const std::string path = parts_.options.path(name);
   const std::string start = encodeStart(header);
-  if (!parts_.planner.fits(usage(), inBlocks(start.size()))) return FileError{"begin", name, ENOSPC};
+  if (!parts_.planner.fits(usage(), roundUpToBlocks(start.size()))) return FileError{"begin", name, ENOSPC};
   auto file = parts_.files.create(path);
   // Left by an earlier try; nothing stands in it.
   if (!file && file.error().number == EEXIST && !parts_.files.remove(path)) file = parts_.files.create(path);
@@ -87,7 +87,7 @@
 
 LiveRecords::Segment& SegmentWriter::install(std::uint64_t sequence, std::size_t bytes,
                                              std::shared_ptr<OutFile> file) {
-  used_ += inBlocks(bytes);
+  used_ += roundUpToBlocks(bytes);
   active_ = std::move(file);
   parts_.commit.namedFile();
   LiveRecords::Segment& segment = parts_.records.addSegment(sequence, bytes, bytes);
@@ -111,7 +111,7 @@
 
 bool SegmentWriter::appendFrames(std::string_view frames) {
   LiveRecords::Segment& segment = parts_.records.newest();
-  const std::size_t grows = inBlocks(segment.bytes + frames.size()) - inBlocks(segment.bytes);
+  const std::size_t grows = roundUpToBlocks(segment.bytes + frames.size()) - roundUpToBlocks(segment.bytes);
   if (!parts_.planner.fits(usage(), grows)) return false;
   const auto [put, error] = active_->append(frames);
   if (!error && put == frames.size()) {
@@ -129,7 +129,7 @@
   if (put > 0 && active_->truncate(segment.bytes)) {
     broken_ = true;
     segment.fileBytes = segment.bytes + put;
-    used_ += inBlocks(segment.fileBytes) - inBlocks(segment.bytes);
+    used_ += roundUpToBlocks(segment.fileBytes) - roundUpToBlocks(segment.bytes);
   }
   return false;
 }
@@ -156,7 +156,7 @@
   const auto error = parts_.files.remove(parts_.options.path(name));
   if (error && error->number != ENOENT) return FileError{"remove", name, error->number};
   if (!begun_) history_.firstSegment = oldest.sequence + 1;  // the next header states it
-  used_ -= inBlocks(oldest.fileBytes);
+  used_ -= roundUpToBlocks(oldest.fileBytes);
   parts_.records.dropOldest();
   ++parts_.statistics.deletedSegments;
   return std::nullopt;
@@ -174,7 +174,7 @@
   usage.segments = records.size();
   usage.headBytes = startBytes_;
   if (!records.empty()) usage.oldestLive = records.oldest().live;
-  usage.sinceStep = sinceStep_;
+  usage.appendedSinceStep = sinceStep_;
   return usage;
 }
 
--- a/src/journal/segment_writer.h
+++ b/src/journal/segment_writer.h
@@ -47,8 +47,8 @@
   // What the headers of the segments to come state of the folder's past.
   struct History {
     std::uint64_t salt = 0;
-    std::uint64_t tookOver = 0;      // fingerprint of a version 1 file that is still there; 0: none
-    std::uint64_t firstSegment = 1;  // the oldest that is needed, as recorded on the disk
+    std::uint64_t convertedFingerprint = 0;  // fingerprint of a version 1 file that is still there; 0: none
+    std::uint64_t firstSegment = 1;          // the oldest that is needed, as recorded on the disk
   };
 
   explicit SegmentWriter(const Parts& parts);
@@ -58,7 +58,7 @@
 
   // To be called before anything is written.
   void resume(const History& history) { history_ = history; }
-  void setTookOver(std::uint64_t fingerprint) { history_.tookOver = fingerprint; }
+  void setConvertedFingerprint(std::uint64_t fingerprint) { history_.convertedFingerprint = fingerprint; }
 
   // Whether there is a segment to write to; begins the first one where there is none yet.
   bool begin();
--- a/src/journal/syncer.cpp
+++ b/src/journal/syncer.cpp
@@ -13,8 +13,8 @@
 
 namespace myrtleloft {
 
-SyncDone syncNow(Files& files, const std::string& folder, const SyncJob& job) {
-  SyncDone done{job.position, std::nullopt};
+SyncResult syncNow(Files& files, const std::string& folder, const SyncJob& job) {
+  SyncResult done{job.position, std::nullopt};
   for (const auto& file : job.files)
     if (auto error = file->sync()) done.error = std::move(error);
   if (job.folder)
@@ -54,7 +54,7 @@
     }
     wake_.notify_one();
   }
-  std::optional<SyncDone> collect() {
+  std::optional<SyncResult> collect() {
     std::uint64_t count = 0;
     if (::read(event_.get(), &count, sizeof count) < 0) count = 0;  // nothing is readable: nothing is done
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -72,7 +72,7 @@
     for (;;) {
       wake_.wait(lock, [this] { return ends_ || job_; });
       if (!job_) return;  // a job that was handed over is done before the end
-      SyncDone done;
+      SyncResult done;
       {
         const SyncJob job = *std::exchange(job_, std::nullopt);
         lock.unlock();
@@ -89,7 +89,7 @@
   Fd event_;
   std::mutex mutex_;  // for the three below; never locked while the disk is waited for
   std::optional<SyncJob> job_;
-  std::optional<SyncDone> done_;
+  std::optional<SyncResult> done_;
   bool ends_ = false;
   std::condition_variable wake_;
   std::thread thread_;  // the last: it uses the others
@@ -99,7 +99,7 @@
     : impl_(std::make_unique<Impl>(files, std::move(folder))) {}
 ThreadSyncer::~ThreadSyncer() = default;
 void ThreadSyncer::submit(SyncJob job) { impl_->submit(std::move(job)); }
-std::optional<SyncDone> ThreadSyncer::collect() { return impl_->collect(); }
+std::optional<SyncResult> ThreadSyncer::collect() { return impl_->collect(); }
 int ThreadSyncer::fd() const { return impl_->fd(); }
 
 }  // namespace myrtleloft
--- a/src/journal/syncer.h
+++ b/src/journal/syncer.h
@@ -24,7 +24,7 @@
   std::uint64_t position = 0;                   // what is on the disk once it is done
 };
 
-struct SyncDone {
+struct SyncResult {
   std::uint64_t position = 0;
   // Some of it may not be on the disk, and never will be by another sync.
   std::optional<FileError> error;
@@ -36,7 +36,7 @@
   // Begins a job; none is running or uncollected.
   virtual void submit(SyncJob job) = 0;
   // The job that has ended since the last call; nothing where none has.
-  virtual std::optional<SyncDone> collect() = 0;
+  virtual std::optional<SyncResult> collect() = 0;
 };
 
 class ThreadSyncer : public Syncer {
@@ -44,7 +44,7 @@
   ThreadSyncer(Files& files, std::string folder);
   ~ThreadSyncer() override;  // waits for the job in hand
   void submit(SyncJob job) override;
-  std::optional<SyncDone> collect() override;
+  std::optional<SyncResult> collect() override;
   // Readable while something is to be collected; -1: no descriptor could be had.
   int fd() const;
 
@@ -54,6 +54,6 @@
 };
 
 // One job, in the thread that calls: for tests, and what ThreadSyncer's thread does.
-SyncDone syncNow(Files& files, const std::string& folder, const SyncJob& job);
+SyncResult syncNow(Files& files, const std::string& folder, const SyncJob& job);
 
 }  // namespace myrtleloft
--- a/src/journal/version_one.cpp
+++ b/src/journal/version_one.cpp
@@ -130,7 +130,7 @@
   std::uint32_t check = 0;
   std::memcpy(&size, bytes.data(), sizeof size);
   std::memcpy(&check, bytes.data() + sizeof size, sizeof check);
-  if (size > kLongestRecord) return {Frame::Kind::kDamaged, {}};
+  if (size > kMaxRecordBytes) return {Frame::Kind::kDamaged, {}};
   if (bytes.size() - kVersionOneFrameBytes < size) return {Frame::Kind::kTorn, {}};
   const std::string_view payload = bytes.substr(kVersionOneFrameBytes, size);
   const auto sum = ::crc32(0, reinterpret_cast<const Bytef*>(payload.data()), static_cast<uInt>(size));
@@ -155,7 +155,7 @@
     if (!record) {
       // Without a mark no later record can be found; what is lost there cannot be counted.
       found.corruptions.push_back({kVersionOneName, at, rest.size(), "damaged"});
-      replay.hole();
+      replay.noteCorruption();
       return;
     }
     ++found.records;
--- a/src/json/place.cpp
+++ b/src/json/location.cpp
@@ -1,4 +1,4 @@
-#include "json/place.h"
+#include "json/location.h"
 
 #include <algorithm>
 #include <charconv>
@@ -79,14 +79,14 @@
 
 }  // namespace
 
-Place placeAt(std::string_view text, std::size_t byte) {
+Location locationAt(std::string_view text, std::size_t byte) {
   const std::string_view before = text.substr(0, byte);
   const std::size_t lineBegins = before.rfind('\n') + 1;  // npos + 1: 0
   return {static_cast<std::size_t>(std::count(before.begin(), before.end(), '\n')) + 1,
           before.size() - lineBegins + 1};
 }
 
-Place placeOf(std::string_view text, std::string_view path) {
+Location locationOf(std::string_view text, std::string_view path) {
   Walk walk(text);
   while (!path.empty() && walk.at() < text.size()) {
     const std::size_t end = std::min(path.find_first_of(".[]"), path.size());
@@ -94,7 +94,7 @@
     path.remove_prefix(std::min(end + 1, path.size()));
     if (!part.empty() && !walk.enter(part)) break;
   }
-  return placeAt(text, walk.at());
+  return locationAt(text, walk.at());
 }
 
 }  // namespace myrtleloft::json
--- a/src/popularity/messages.cpp
+++ b/src/popularity/messages.cpp
@@ -56,13 +56,13 @@
 std::string bytesOf(const Message& message, const char* type = nullptr) {
   std::string bytes;
   if (type) bytes += *type;
-  TextOut archive(bytes);
+  BufferOutputArchive archive(bytes);
   archive(message);
   return bytes;
 }
 template <typename Message>
 bool read(std::string_view payload, Message& message) try {
-  TextIn in(payload);
+  BufferInputArchive in(payload);
   in(message);
   return in.left() == 0;
 } catch (const std::exception&) {
@@ -72,14 +72,16 @@
 }  // namespace
 
 // ---- the fields, for cereal ----
-void save(TextOut& ar, const HeavyEntry& e) { ar(e.destination, up(e.count), up(e.error), down(e.calls)); }
-void load(TextIn& ar, HeavyEntry& e) {
+void save(BufferOutputArchive& ar, const HeavyEntry& e) {
+  ar(e.destination, up(e.count), up(e.error), down(e.calls));
+}
+void load(BufferInputArchive& ar, HeavyEntry& e) {
   float count = 0, error = 0, calls = 0;
   ar(e.destination, count, error, calls);
   e.count = count, e.error = error, e.calls = calls;
 }
-void save(TextOut& ar, const HeavySummary& s) { ar(up(s.floor), up(s.total), s.entries); }
-void load(TextIn& ar, HeavySummary& s) {
+void save(BufferOutputArchive& ar, const HeavySummary& s) { ar(up(s.floor), up(s.total), s.entries); }
+void load(BufferInputArchive& ar, HeavySummary& s) {
   float floor = 0, total = 0;
   ar(floor, total, s.entries);
   s.floor = floor, s.total = total;
@@ -101,10 +103,10 @@
   ar(a.number, a.destination);
 }
 // A part that is not known is told as a negative age.
-void save(TextOut& ar, const std::optional<Aged>& part) {
+void save(BufferOutputArchive& ar, const std::optional<Aged>& part) {
   ar(part ? part->value : 0, part ? part->ageMs : -1.0);
 }
-void load(TextIn& ar, std::optional<Aged>& part) {
+void load(BufferInputArchive& ar, std::optional<Aged>& part) {
   Aged aged;
   ar(aged.value, aged.ageMs);
   part = aged.ageMs == -1 ? std::nullopt : std::optional(aged);
--- a/src/relay/component_options.cpp
+++ b/src/relay/component_options.cpp
@@ -51,7 +51,7 @@
   options.folder = config.stateFolder;
   options.diskBytes = config.diskBytes;
   options.segmentBytes = config.operatorFile.journal.segmentBytes;
-  options.tuning.mostStepBytes = config.operatorFile.journal.compactionStepBytes;
+  options.tuning.maxStepBytes = config.operatorFile.journal.compactionStepBytes;
   options.tuning.freeShare = config.operatorFile.journal.freePercent / 100.0;
   options.owner = "pid " + std::to_string(::getpid()) + ", relay " + config.name;
   options.salt = randomSalt();
--- a/tests/config/config_faults_test.cpp
+++ b/tests/config/config_faults_test.cpp
@@ -5,7 +5,7 @@
 
 #include "config/config.h"
 #include "json/json.h"
-#include "json/place.h"
+#include "json/location.h"
 
 using namespace myrtleloft;
 
@@ -120,7 +120,7 @@
   std::string error;
   REQUIRE(json::parse(text, error));
   const auto at = [&](const char* path) {
-    const json::Place place = json::placeOf(text, path);
+    const json::Location place = json::locationOf(text, path);
     return std::to_string(place.line) + ":" + std::to_string(place.column);
   };
   CHECK_EQ(at(""), "1:1");
--- a/tests/discovery/endpoint_directory_fixture.h
+++ b/tests/discovery/endpoint_directory_fixture.h
@@ -156,7 +156,7 @@
 
  private:
   EndpointDirectory::Parts parts(lab::Disk& disk, bool group) {
-    for (const auto& [path, bytes] : disk.files) share.used += inBlocks(bytes.size());
+    for (const auto& [path, bytes] : disk.files) share.used += roundUpToBlocks(bytes.size());
     return {files, clock_, share, counters, log, group ? &syncer : nullptr};
   }
   static EndpointDirectory::Options filled(EndpointDirectory::Options options) {
--- a/tests/journal/compaction_test.cpp
+++ b/tests/journal/compaction_test.cpp
@@ -27,7 +27,7 @@
     std::ostringstream log;
     JournalOptions options{"/s", 1000000, 0, {}, "one", 5};
     options.tuning.freeShare = 1;
-    options.tuning.leastStepBytes = options.tuning.mostStepBytes = 60000;
+    options.tuning.minStepBytes = options.tuning.maxStepBytes = 60000;
     Journal journal({files, slow ? static_cast<Clock&>(ticking) : quick, log}, options);
     REQUIRE(journal.open());
     std::deque<PendingRequest> requests;
--- a/tests/journal/corruption_test.cpp
+++ b/tests/journal/corruption_test.cpp
@@ -153,7 +153,7 @@
     for (const auto& [path, bytes] : disk.files) {
       if (!path.starts_with("/s/damaged-")) continue;
       ++files;
-      sum += inBlocks(bytes.size());
+      sum += roundUpToBlocks(bytes.size());
     }
     CHECK(files > 5);
     CHECK(files <= 16);
--- a/tests/journal/journal_day.h
+++ b/tests/journal/journal_day.h
@@ -17,7 +17,7 @@
 
 using lab::HandClock;
 
-class JournalDay {
+class RandomJournalRun {
  public:
   struct Expected {
     PendingRequest pending;  // where the journal points to
@@ -27,7 +27,7 @@
     bool unrecorded = false;  // a final status or a withdrawal that found no space: disk may know less
   };
 
-  JournalDay(lab::Disk& disk, std::size_t diskBytes, std::uint32_t seed) : disk_(disk), random_(seed) {
+  RandomJournalRun(lab::Disk& disk, std::size_t diskBytes, std::uint32_t seed) : disk_(disk), random_(seed) {
     options_.folder = "/s";
     options_.diskBytes = diskBytes;
     options_.owner = "the test";
--- a/tests/journal/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kSteps = 400;
 
 // Plays a day to its end or to its crash; what differs at its begin.
-std::string play(JournalDay& day, FaultyFiles& files, std::size_t steps = kSteps) {
+std::string play(RandomJournalRun& day, FaultyFiles& files, std::size_t steps = kSteps) {
   const std::string difference = day.begin(files);
   if (!difference.empty()) return difference;
   for (std::size_t i = 0; i < steps && !files.crashed(); ++i) day.step();
@@ -33,7 +33,7 @@
   for (const std::uint32_t seed : {1u, 2u, 3u}) {
     for (const std::size_t limit : {kSmallDisk, std::size_t{1000000}}) {
       Disk disk;
-      JournalDay day(disk, limit, seed);
+      RandomJournalRun day(disk, limit, seed);
       FaultyFiles files(disk);
       CAPTURE(seed);
       CAPTURE(limit);
@@ -62,7 +62,7 @@
                                  std::size_t{13}, std::size_t{40}, std::size_t{143}, std::size_t{100000}}) {
     for (std::uint64_t n = 1;; ++n) {
       Disk disk;
-      JournalDay day(disk, kSmallDisk, 7);
+      RandomJournalRun day(disk, kSmallDisk, 7);
       bool survived = false;
       {
         FaultyFiles files(disk);
@@ -89,7 +89,7 @@
   for (std::uint64_t first = 5; first < 300; first += 13) {
     for (std::uint64_t second = 1; second < 6; ++second) {
       Disk disk;
-      JournalDay day(disk, kSmallDisk, 11);
+      RandomJournalRun day(disk, kSmallDisk, 11);
       {
         FaultyFiles files(disk);
         files.crashAt(first, 9);
@@ -113,7 +113,7 @@
   for (const int error : {ENOSPC, EIO, EDQUOT, EROFS}) {
     for (std::uint64_t n = 1; n < 400; n += 3) {
       Disk disk;
-      JournalDay day(disk, kSmallDisk, 5);
+      RandomJournalRun day(disk, kSmallDisk, 5);
       FaultyFiles files(disk);
       CAPTURE(error);
       CAPTURE(n);
--- a/tests/journal/name_table_corruption_test.cpp
+++ b/tests/journal/name_table_corruption_test.cpp
@@ -59,7 +59,7 @@
       JournalOptions options{"/s", 62500, 0, {}, "the test", 7};
       options.names = kTurned;
       options.tuning.freeShare = 1;
-      options.tuning.mostSegments = 1;
+      options.tuning.maxSegments = 1;
       Journal journal({files, clock, log}, options);
       if (auto found = journal.open()) {
         for (RecoveredRequest& request : found->pending) journal.attach(request.pending);
@@ -95,7 +95,7 @@
     }
     for (int i = 0; i < 100 && opened.journal->wantsCompaction(); ++i) REQUIRE(opened.journal->compactStep());
     std::size_t used = 0;
-    for (const auto& [path, bytes] : disk.files) used += inBlocks(bytes.size());
+    for (const auto& [path, bytes] : disk.files) used += roundUpToBlocks(bytes.size());
     REQUIRE(used <= 62500);
     REQUIRE(!requests.empty());
   }
--- a/tests/journal/name_table_test.cpp
+++ b/tests/journal/name_table_test.cpp
@@ -142,7 +142,7 @@
     JournalOptions options{"/s", 1000000, 0, {}, "the test", 7};
     options.names = now;
     options.tuning.freeShare = 1;
-    options.tuning.mostSegments = 1;  // carries all over at once
+    options.tuning.maxSegments = 1;  // carries all over at once
     disk.locks.clear();
     HandClock clock;
     FaultyFiles files(disk);
--- a/tests/journal/planner_test.cpp
+++ b/tests/journal/planner_test.cpp
@@ -38,12 +38,12 @@
     for (const Segment& segment : segments) {
       std::size_t live = 0;
       for (const std::size_t bytes : segment.live) live += bytes;
-      usage.used += inBlocks(segment.bytes);
+      usage.used += roundUpToBlocks(segment.bytes);
       usage.live += live;
       usage.largestLive = std::max(usage.largestLive, live);
       if (&segment == &segments.front()) usage.oldestLive = live;
     }
-    usage.sinceStep = since;
+    usage.appendedSinceStep = since;
     return usage;
   }
   void append(std::size_t bytes) {
--- a/tests/journal/stored_files_test.cpp
+++ b/tests/journal/stored_files_test.cpp
@@ -18,7 +18,7 @@
   const std::string path = copy.path + "/journal.lock";
   CHECK_EQ(contentOf(path), "pid 4103, relay n3\n");
   PosixFiles files;
-  auto lock = files.lockIfThere(path);
+  auto lock = files.lockIfExists(path);
   REQUIRE(lock);
   // The text of d274781 held the same file in the same way: flock(2).
   std::ostringstream log;
--- a/tests/journal/stored_state.h
+++ b/tests/journal/stored_state.h
@@ -136,11 +136,11 @@
 // All that a reading of a folder found.
 inline Lines linesOf(const std::string& folder, const Recovered& found) {
   const auto text = [](std::uint64_t number) { return std::to_string(number); };
-  Lines lines = {joined({"folder", text(found.firstSegment), text(found.salt), text(found.tookOver),
-                         found.versionOne ? "version-1" : "segments", text(found.versionOneFingerprint),
-                         text(found.torn), text(found.madeAmbiguous), text(found.bodiesLost),
-                         text(found.records), text(found.pending.size())})};
-  for (const SegmentSeen& segment : found.segments) {
+  Lines lines = {joined({"folder", text(found.firstSegment), text(found.salt),
+                         text(found.convertedFingerprint), found.versionOne ? "version-1" : "segments",
+                         text(found.versionOneFingerprint), text(found.torn), text(found.madeAmbiguous),
+                         text(found.bodiesLost), text(found.records), text(found.pending.size())})};
+  for (const SegmentInfo& segment : found.segments) {
     const HeaderState header = readHeader(contentOf(folder + "/" + segmentName(segment.sequence)));
     lines.push_back(joined({"segment", text(segment.sequence), text(header.version), text(segment.fileBytes),
                             text(segment.validBytes), text(segment.headBytes), text(segment.records),
@@ -148,7 +148,7 @@
                             segment.named ? "named" : "unnamed", segment.stale ? "stale" : "needed"}));
   }
   Lines others;
-  for (const FileSeen& file : found.others) others.push_back(joined({"file", file.name, text(file.bytes)}));
+  for (const FileInfo& file : found.others) others.push_back(joined({"file", file.name, text(file.bytes)}));
   std::sort(others.begin(), others.end());
   lines.insert(lines.end(), others.begin(), others.end());
   for (const NameTable& names : found.nameTables) {
@@ -196,10 +196,10 @@
 // A process that takes such a folder into service.
 struct Service {
   Service(const std::string& folder, const lab::HandClock& clocks, const NameTable& names,
-          std::size_t mostSegments = 96)
+          std::size_t maxSegments = 96)
       : clock(clocks) {
     JournalOptions options{folder, 1200000, 16384, {}, "the test", 7};
-    options.tuning.mostSegments = mostSegments;
+    options.tuning.maxSegments = maxSegments;
     options.names = names;
     journal = std::make_unique<Journal>(Journal::Parts{files, clock, log}, options);
     auto opened = journal->open();
