--- a/src/policy/batch_scheduler.cpp
+++ b/src/policy/batch_scheduler.cpp
@@ -4,11 +4,11 @@
 
 void BatchScheduler::send(BatchContext& batch) {
   suspectCalls_ = countSuspectCalls(batch);
-  std::vector<Lane> lanes = collectLanes(batch);
-  if (!requests_.due().empty()) cancelHopeless(batch, !lanes.empty());
+  std::vector<SendQueue> sendQueues = collectSendQueues(batch);
+  if (!requests_.due().empty()) cancelOverdueCall(batch, !sendQueues.empty());
   const std::int64_t lastCallBefore = calls_.lastId();
   while (calls_.inFlight() < batch.settings.maxConcurrentCalls) {
-    Lane* mostUrgent = mostUrgentLane(lanes);
+    SendQueue* mostUrgent = mostUrgentQueue(sendQueues);
     if (!mostUrgent) break;
     sendNext(batch, *mostUrgent, lastCallBefore);
   }
@@ -20,53 +20,55 @@
   return count;
 }
 
-std::vector<BatchScheduler::Lane> BatchScheduler::collectLanes(BatchContext& batch) {
-  std::vector<Lane> lanes;
+std::vector<BatchScheduler::SendQueue> BatchScheduler::collectSendQueues(BatchContext& batch) {
+  std::vector<SendQueue> sendQueues;
   for (const auto& [id, destination] : requests_.waiting()) {
-    if (waitsForBatch(batch, *destination)) continue;
-    Lane lane{destination, rankEndpoints(batch, latency_, *destination, suspectCalls_), {}};
-    if (lane.chain.empty()) continue;
-    lane.order = byUrgency(batch, latency_, *destination);
-    std::erase_if(lane.order,
-                  [&](const QueuedRequest& queued) { return !queued.request->nextOfItsKey(batch.nowMs()); });
-    if (!lane.order.empty()) lanes.push_back(std::move(lane));
+    if (waitsToShareCall(batch, *destination)) continue;
+    SendQueue sendQueue{destination, rankEndpoints(batch, latency_, *destination, suspectCalls_), {}};
+    if (sendQueue.chain.empty()) continue;
+    sendQueue.order = byUrgency(batch, latency_, *destination);
+    std::erase_if(sendQueue.order, [&](const QueuedRequest& queued) {
+      return !queued.request->isNextOfOrderKey(batch.nowMs());
+    });
+    if (!sendQueue.order.empty()) sendQueues.push_back(std::move(sendQueue));
   }
-  return lanes;
+  return sendQueues;
 }
 
-BatchScheduler::Lane* BatchScheduler::mostUrgentLane(std::vector<Lane>& lanes) {
-  Lane* mostUrgent = nullptr;
-  for (Lane& lane : lanes)
-    if (!lane.done() && (!mostUrgent || lane.first().urgency < mostUrgent->first().urgency))
-      mostUrgent = &lane;
+BatchScheduler::SendQueue* BatchScheduler::mostUrgentQueue(std::vector<SendQueue>& sendQueues) {
+  SendQueue* mostUrgent = nullptr;
+  for (SendQueue& sendQueue : sendQueues)
+    if (!sendQueue.done() && (!mostUrgent || sendQueue.first().urgency < mostUrgent->first().urgency))
+      mostUrgent = &sendQueue;
   return mostUrgent;
 }
 
-bool BatchScheduler::waitsForBatch(BatchContext& batch, const Destination& destination) const {
-  const Endpoint* lead = leadEndpoint(batch, destination);
-  const double listedShare = lead ? lead->rating * kRatingShare / batch.settings.instanceCount : 0;
-  if (listedShare <= 0 || lead->batchSize == 1 || latency_.suspect(batch, *lead) ||
-      lead->upstream->bounded(batch))
+bool BatchScheduler::waitsToShareCall(BatchContext& batch, const Destination& destination) const {
+  const Endpoint* cheapest = cheapestEndpoint(batch, destination);
+  const double listedShare = cheapest ? cheapest->rating * kRatingShare / batch.settings.instanceCount : 0;
+  if (listedShare <= 0 || cheapest->batchSize == 1 || latency_.suspect(batch, *cheapest) ||
+      cheapest->upstream->bounded(batch))
     return false;
-  const DecayedRate& sent = lead->upstream->sent();
+  const DecayedRate& sent = cheapest->upstream->sent();
   const Request& oldest = *destination.queue.begin()->second;
-  const double untilMs = std::min(sent.newestMs() + 1000 / listedShare,
+  const double untilMs = std::min(sent.lastEventMs() + 1000 / listedShare,
                                   oldest.objectiveMs - oldest.objectiveSpanMs * (1 - kBatchWaitShare));
-  if (!sent.started() || batch.nowMs() >= untilMs || batch.nowMs() < lead->upstream->blockedUntilMs() ||
-      destination.queue.size() >= static_cast<std::size_t>(lead->batchSize))
+  if (!sent.started() || batch.nowMs() >= untilMs || batch.nowMs() < cheapest->upstream->blockedUntilMs() ||
+      destination.queue.size() >= static_cast<std::size_t>(cheapest->batchSize))
     return false;
   batch.wakeNoLaterThan(untilMs);
   return true;
 }
 
-const Endpoint* BatchScheduler::leadEndpoint(const BatchContext& batch, const Destination& destination) {
-  const Endpoint* lead = nullptr;
+const Endpoint* BatchScheduler::cheapestEndpoint(const BatchContext& batch, const Destination& destination) {
+  const Endpoint* cheapest = nullptr;
   for (const Endpoint* endpoint : destination.endpoints)
-    if (endpoint->open && (!lead || costOf(batch, *endpoint) < costOf(batch, *lead))) lead = endpoint;
-  return lead;
+    if (endpoint->open && (!cheapest || costOf(batch, *endpoint) < costOf(batch, *cheapest)))
+      cheapest = endpoint;
+  return cheapest;
 }
 
-void BatchScheduler::cancelHopeless(BatchContext& batch, bool capacityNeeded) {
+void BatchScheduler::cancelOverdueCall(BatchContext& batch, bool capacityNeeded) {
   const double busyCalls = batch.settings.maxConcurrentCalls * kBusyConcurrencyShare;
   const bool busy = capacityNeeded && calls_.inFlight() >= busyCalls;
   if (!batch.settings.mayCancel || (!busy && suspectCalls_ < maxSuspectCalls(batch))) return;
@@ -81,40 +83,41 @@
 
 Call* BatchScheduler::mostOverdueCall(const BatchContext& batch, bool capacityNeeded) {
   Call* mostOverdue = nullptr;
-  double most = 1;
+  double largestFactor = 1;
   for (auto& [id, call] : calls_.calls()) {
-    if (call.cancelled) return nullptr;  // one at a time: its capacity comes back with the next batch
+    if (call.cancelled) return nullptr;  // one cancellation at a time: its capacity is free in the next batch
     const bool lastResort = capacityNeeded && calls_.inFlight() >= batch.settings.maxConcurrentCalls;
-    if (call.nonIdempotent && !lastResort) continue;  // it would fail
-    const double overdue = overdueOf(batch, call);
-    if (overdue > most) {
-      most = overdue;
+    if (call.nonIdempotent && !lastResort) continue;  // cancelling it would make its requests fail
+    const double factor = overdueFactor(batch, call);
+    if (factor > largestFactor) {
+      largestFactor = factor;
       mostOverdue = &call;
     }
   }
   return mostOverdue;
 }
 
-double BatchScheduler::overdueOf(const BatchContext& batch, const Call& call) const {
+double BatchScheduler::overdueFactor(const BatchContext& batch, const Call& call) const {
   const bool overtaken = call.endpoint->newestAnsweredSentMs > call.sentMs;
-  const double base = overtaken ? kOvertakenLatencyFactor : kCancelLatencyFactor;
-  const double patienceMs = base * (call.nonIdempotent ? 2 : 1) * latency_.typicalMs(*call.endpoint);
-  return (batch.nowMs() - call.sentMs) / patienceMs;
+  const double latencyFactor = overtaken ? kOvertakenLatencyFactor : kCancelLatencyFactor;
+  const double cancelAfterMs =
+      latencyFactor * (call.nonIdempotent ? 2 : 1) * latency_.typicalMs(*call.endpoint);
+  return (batch.nowMs() - call.sentMs) / cancelAfterMs;
 }
 
-void BatchScheduler::sendNext(BatchContext& batch, Lane& lane, std::int64_t lastCallBefore) {
-  Request& request = *lane.order[lane.next++].request;
-  Endpoint* endpoint = selectEndpoint(batch, latency_, request, lane.chain);
+void BatchScheduler::sendNext(BatchContext& batch, SendQueue& sendQueue, std::int64_t lastCallBefore) {
+  Request& request = *sendQueue.order[sendQueue.next++].request;
+  Endpoint* endpoint = selectEndpoint(batch, latency_, request, sendQueue.chain);
   if (!endpoint) return;
   Call& call = callTo(batch, *endpoint, lastCallBefore);
   const int sizeBefore = call.size();
   addToCall(batch, request, call);
-  while (call.size() < endpoint->batchSize && !lane.done() &&
-         selectEndpoint(batch, latency_, *lane.first().request, lane.chain) == endpoint)
-    addToCall(batch, *lane.order[lane.next++].request, call);
+  while (call.size() < endpoint->batchSize && !sendQueue.done() &&
+         selectEndpoint(batch, latency_, *sendQueue.first().request, sendQueue.chain) == endpoint)
+    addToCall(batch, *sendQueue.order[sendQueue.next++].request, call);
   endpoint->upstream->spend(batch, sizeBefore, call.size());
-  lane.chain = rankEndpoints(batch, latency_, *lane.destination, suspectCalls_);
-  if (lane.chain.empty()) lane.next = lane.order.size();
+  sendQueue.chain = rankEndpoints(batch, latency_, *sendQueue.destination, suspectCalls_);
+  if (sendQueue.chain.empty()) sendQueue.next = sendQueue.order.size();
 }
 
 Call& BatchScheduler::callTo(BatchContext& batch, Endpoint& endpoint, std::int64_t lastCallBefore) {
--- a/src/policy/batch_scheduler.h
+++ b/src/policy/batch_scheduler.h
@@ -1,6 +1,7 @@
-// Sends what waits: the most urgent request first, each to the first endpoint of its chain that may have it.
-// Cost: for each batch, ranks the endpoints of each destination with waiting requests and sorts these
-// requests; ranks again after each call.
+// Sends the pending requests that are not in flight, most urgent first, each to the first endpoint of its
+// fallback chain that may be used for it.
+// Cost: each batch ranks the endpoints of every destination with waiting requests and sorts these requests;
+// the endpoints of a destination are ranked again after each call to it.
 #pragma once
 
 #include <cstddef>
@@ -15,47 +16,49 @@
 
 namespace myrtleloft::policy {
 
-// Invariants: no more calls than maxConcurrentCalls are in flight; a call of several requests has those of
-// one destination and of one batch; at most one call is cancelled and not ended.
+// Invariants: at most Settings::maxConcurrentCalls calls are in flight; all requests of a call have the same
+// destination and were sent in the same batch; at most one cancelled call is still in flight.
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class BatchScheduler {
  public:
-  // All four must outlive the scheduler.
+  // All arguments must outlive the scheduler.
   BatchScheduler(RequestTable& requests, CallTable& calls, const ConnectionReuse& connections,
                  const LatencyTracker& latency)
       : requests_(requests), calls_(calls), connections_(connections), latency_(latency) {}
 
-  // Sends what may be sent now, and cancels a call where capacity is short.
+  // Sends the requests that may be sent now. Cancels one call if concurrency is nearly exhausted.
   void send(BatchContext& batch);
 
  private:
-  // What waits for one destination, in this batch.
-  struct Lane {
+  // The requests that wait for one destination in this batch, most urgent first, and the endpoints to use.
+  struct SendQueue {
     const Destination* destination;
     FallbackChain chain;
     std::vector<QueuedRequest> order;
-    std::size_t next = 0;
+    std::size_t next = 0;  // index of the next request in `order`
     bool done() const { return next >= order.size(); }
     const QueuedRequest& first() const { return order[next]; }
   };
 
   int countSuspectCalls(const BatchContext& batch);
-  std::vector<Lane> collectLanes(BatchContext& batch);
-  static Lane* mostUrgentLane(std::vector<Lane>& lanes);
-  // Requests for a lead endpoint that takes several in a call gather from one call to the next.
-  bool waitsForBatch(BatchContext& batch, const Destination& destination) const;
-  // The open endpoint of the least cost; null: none is open.
-  static const Endpoint* leadEndpoint(const BatchContext& batch, const Destination& destination);
-  // Capacity, or that for suspect endpoints, is short while requests wait: one call is cancelled.
-  void cancelHopeless(BatchContext& batch, bool capacityNeeded);
-  // The call that is in flight for the most multiples of what is reasonable, above 1; null: none may be
-  // cancelled.
+  std::vector<SendQueue> collectSendQueues(BatchContext& batch);
+  static SendQueue* mostUrgentQueue(std::vector<SendQueue>& sendQueues);
+  // Returns true while the requests of the destination are held back to share the next call to its cheapest
+  // endpoint, and schedules the wake-up that ends the wait.
+  bool waitsToShareCall(BatchContext& batch, const Destination& destination) const;
+  // Returns the open endpoint with the lowest cost, nullptr if none is open.
+  static const Endpoint* cheapestEndpoint(const BatchContext& batch, const Destination& destination);
+  // Cancels the most overdue call if the limit on concurrent calls, or on calls to suspect endpoints, is
+  // nearly or fully used while requests wait.
+  void cancelOverdueCall(BatchContext& batch, bool capacityNeeded);
+  // Returns the call with the highest overdueFactor above 1. Returns nullptr if no call may be cancelled.
   Call* mostOverdueCall(const BatchContext& batch, bool capacityNeeded);
-  // In multiples of how long a call may be in flight before it may be cancelled.
-  double overdueOf(const BatchContext& batch, const Call& call) const;
-  // Sends the first request of the lane, with others that fit into its call.
-  void sendNext(BatchContext& batch, Lane& lane, std::int64_t lastCallBefore);
-  // Requests of one batch to one endpoint fill a call before the next begins.
+  // Time in flight as a multiple of the time after which the call may be cancelled.
+  double overdueFactor(const BatchContext& batch, const Call& call) const;
+  // Sends the first request of the queue together with further requests that fit into its call.
+  void sendNext(BatchContext& batch, SendQueue& sendQueue, std::int64_t lastCallBefore);
+  // Returns the call that the next request to the endpoint joins: the newest call of this batch (its id is
+  // above `lastCallBefore`) if it is not full, otherwise a new call.
   Call& callTo(BatchContext& batch, Endpoint& endpoint, std::int64_t lastCallBefore);
   void addToCall(BatchContext& batch, Request& request, Call& call);
 
@@ -63,7 +66,7 @@
   CallTable& calls_;
   const ConnectionReuse& connections_;
   const LatencyTracker& latency_;
-  int suspectCalls_ = 0;  // in flight at suspect endpoints
+  int suspectCalls_ = 0;  // calls in flight to suspect endpoints
 };
 
 }  // namespace myrtleloft::policy
--- a/src/policy/connection_reuse.cpp
+++ b/src/policy/connection_reuse.cpp
@@ -15,13 +15,13 @@
   if (connectionTableFullRate > kTableFullThreshold) endpoint.closeIdleConnections(batch);
 }
 
-bool ConnectionReuse::brokenByIdling(BatchContext& batch, Endpoint& endpoint, const Call& call,
-                                     Outcome outcome) {
+bool ConnectionReuse::brokeOnIdleConnection(BatchContext& batch, Endpoint& endpoint, const Call& call,
+                                            Outcome outcome) {
   double& brokenIdleMs = endpoint.upstream->traffic().brokenIdleMs;
   if (outcome != Outcome::kReset || call.idleMs.value_or(-1) <= 0) {
     if (outcome == Outcome::kSuccess && brokenIdleMs < kNever) {
-      brokenAgeMs_ = std::min(usableAgeMs(batch), brokenIdleMs * kIdleAgeShare);
-      learnedMs_ = batch.nowMs();
+      learnedAgeMs_ = std::min(usableAgeMs(batch), brokenIdleMs * kIdleAgeShare);
+      learnedAtMs_ = batch.nowMs();
     }
     brokenIdleMs = kNever;
     return false;
@@ -34,7 +34,7 @@
 double ConnectionReuse::usableAgeMs(const BatchContext& batch) const {
   const double doublingMs = batch.settings.slowStartMs * kIdleAgeDoublingSpans;
   return std::min(batch.settings.connectionIdleMs,
-                  brokenAgeMs_ * std::exp2((batch.nowMs() - learnedMs_) / doublingMs));
+                  learnedAgeMs_ * std::exp2((batch.nowMs() - learnedAtMs_) / doublingMs));
 }
 
 }  // namespace myrtleloft::policy
--- a/src/policy/constants.h
+++ b/src/policy/constants.h
@@ -1,154 +1,160 @@
-// Constants of the decisions. docs/design/slow-start.md has the reasoning of those about outages.
+// Constants of the decisions. docs/design/slow-start.md explains those about outages and slow start.
 //
-// Shares and weights are fractions without a unit. A span is the slow start's, Settings::slowStartMs; a
-// window is that in which an overload counts, Settings::overloadWindowMs.
+// Shares, factors and weights have no unit. A span is Settings::slowStartMs, the duration of a slow start. A
+// window is Settings::overloadWindowMs, in which the calls that may overload an upstream are counted.
 #pragma once
 
 namespace myrtleloft::policy {
 
 // Retries.
 
-// Ambiguous attempts that end a request; a rejection costs none.
+// Number of ambiguous attempts after which a request is given up; rejected attempts do not count.
 inline constexpr int kMaxAmbiguousAttempts = 3;
-// Share of the time left that an attempt may take, so that one more has as much again.
+// Share of the time until the deadline that an attempt may take, which leaves as much time for another.
 inline constexpr double kAttemptTimeShare = 0.5;
-// Upper bound of an attempt's timeout, in typical latencies.
+// Upper bound of an attempt's timeout, as a multiple of the endpoint's typical latency.
 inline constexpr double kTimeoutLatencyFactor = 6;
-// Lower bound of that limit, in latency objectives: an early timeout throws away work that is nearly done.
+// Minimum of that bound, as a multiple of the latency objective: timing out too early discards work that is
+// nearly complete.
 inline constexpr double kTimeoutObjectiveFactor = 1.5;
-// Share of the idempotency window in which a further call may start: calls take time to arrive.
+// Share of the idempotency window in which another attempt may start; the rest allows for the time that a
+// call takes to arrive.
 inline constexpr double kIdempotencyWindowShare = 0.95;
 
 // Latency.
 
-// An endpoint is silent when a call is in flight for this many typical latencies and nothing came back since.
-inline constexpr double kSilentLatencyFactor = 4;
-// Weight of the newest call in what is known of its endpoint.
+// An endpoint is unresponsive when a call has been in flight for this many typical latencies without any
+// success since.
+inline constexpr double kUnresponsiveLatencyFactor = 4;
+// Weight of the newest call in the moving averages of its endpoint.
 inline constexpr double kNewestWeight = 0.3;
-// Weight of the newest call in the rates over all upstreams, which must not follow a single outage.
+// Weight of the newest call in the background rates over all upstreams; small, so that the outage of a single
+// upstream does not dominate them.
 inline constexpr double kBackgroundWeight = 0.03;
-// Typical latency in ms while none is known.
+// Typical latency in ms while no call has succeeded.
 inline constexpr double kDefaultLatencyMs = 250;
 
 // Rate limiter.
 
-// Share of the own rate that remains after a rejection.
+// Factor by which a rejection multiplies the relay's rate.
 inline constexpr double kDecreaseFactor = 0.7;
-// Growth of the rate, as a share of it a second, while it is below the last rejected rate.
+// Relative growth of the rate per second while it is below the rate at which the last rejection occurred.
 inline constexpr double kFastIncrease = 0.5;
-// The same near and above the last rejected rate.
+// Relative growth of the rate per second near and above that rate.
 inline constexpr double kSlowIncrease = 0.1;
-// Share of the listed or reported limit that a fair share counts on.
+// Share of the listed or reported limit that all relays together plan to use.
 inline constexpr double kRatingShare = 0.8;
-// The same where the list's ratings are rough.
+// The same share if the ratings of the endpoint list are rough.
 inline constexpr double kRoughRatingShare = 0.5;
-// Seconds of tokens that may accumulate.
+// Tokens that may accumulate, in seconds of the rate.
 inline constexpr double kBurstSeconds = 0.5;
-// Lowest rate in calls a second: below it a rate is no different from a standstill.
+// Lowest rate in calls per second; lower rates would amount to no calls at all.
 inline constexpr double kMinRatePerSecond = 0.5;
-// Share of its time constant over which a rate is counted at least: a single early event is no rate yet.
+// Minimum averaging period of a decayed rate, as a share of its time constant; otherwise a single early event
+// would give a very high rate.
 inline constexpr double kMinObservedShare = 0.2;
 
-// Sparse traffic: many relays, and a call of each is rare.
+// Sparse traffic: many relays share the upstream, and each calls it rarely.
 
-// Share of the own rate that remains after a rejection.
+// Factor by which a rejection multiplies the threshold of the rate limiter.
 inline constexpr double kSparseDecreaseFactor = 0.5;
-// Growth exponent a second, up to the listed share.
+// Exponential growth of the rate per second while it recovers to the relay's share of the listed limit.
 inline constexpr double kSparseRecovery = 0.25;
-// Growth with an answer above the listed share while requests wait.
+// Relative growth of the rate with each success while requests wait, also above that share.
 inline constexpr double kSparseIncrease = 0.05;
-// Tokens that may accumulate where none was rejected: in kBurstSeconds there would be none.
+// Tokens that may accumulate if no call was rejected; kBurstSeconds would allow less than one token.
 inline constexpr double kSparseBurst = 2;
 
-// Outages, as odds that an upstream is out.
+// Outlier detection, which estimates the odds that an upstream has an outage.
 
-// An outage is expected to begin once in so many spans.
+// Expected interval between the beginnings of outages, in spans.
 inline constexpr double kOutageIntervalSpans = 100;
-// Odds up to which time without a call raises them: only outcomes take them further.
+// Upper bound of the odds that time alone can reach; only outcomes of calls raise them further.
 inline constexpr double kMaxPriorOdds = 0.05;
-// Share of the calls that fail in an outage: less than all, so that one success does not rule it out.
+// Share of calls that fail during an outage; below 1, so that a single success does not rule out an outage.
 inline constexpr double kOutageFailureRate = 0.95;
-// Upper bound of the odds: with more, a return would need many successes.
+// Upper bound of the odds; higher odds would take many successes to come down.
 inline constexpr double kMaxOutageOdds = 2;
-// Lower bound of the rates of failures and rejections elsewhere.
+// Lower bound of the background rates of failures and rejections.
 inline constexpr double kMinBackgroundRate = 0.1;
-// A run of rejections that chance brings less often than this is an outage, not a limit.
+// Consecutive rejections count as an outage if their probability at the background rate is below this.
 inline constexpr double kChanceOfRejections = 0.03;
-// Successes in a row before an ejected upstream gets non-idempotent requests: an error would lose them.
+// Consecutive successes before an ejected upstream gets non-idempotent requests, which a failure would end.
 inline constexpr int kProvenSuccesses = 2;
 
 // Slow start.
 
-// Tokens of a further request in a call, where the first takes one.
+// Tokens for each request of a call after the first, which takes one token.
 inline constexpr double kFurtherRequestWeight = 0.2;
-// Share of what a returning upstream takes that relays which saw a failure use by probes, at many relays;
-// under the two thirds that the rule leaves them.
+// Share of a recovering upstream's capacity that the probes of the relays which saw a failure use in a large
+// fleet. It is below the two thirds that the overload rule allows these relays.
 inline constexpr double kProbeBudget = 0.5;
-// The same for few relays, and once an own call was answered.
+// The same share in a small fleet, and for a relay whose call has succeeded.
 inline constexpr double kRampBudget = 0.6;
-// Share that is used of a capacity estimated by the queue: demand may be over the capacity.
+// Share of the capacity estimated from the queue that is used, since demand may exceed the capacity.
 inline constexpr double kQueueShare = 0.5;
-// Spans after which a failure no longer bounds the rate: few requests outlive that.
+// Spans after which a failure no longer bounds the rate; few requests wait that long.
 inline constexpr double kFailureMemorySpans = 2;
-// Share of first failures retried without a token where calls are rare; where they are frequent it is more.
+// Probability that a relay that rarely calls an upstream retries after a first failure without a token. It
+// rises with the rate of arrivals.
 inline constexpr double kFreeRetryShare = 1.0 / 3;
-// Relays up to which all first failures are retried without a token.
+// Up to this many relays always retry after a first failure without a token.
 inline constexpr double kFewRelays = 3;
-// Arrivals that probe without a token, as a share of those at relays without a failure.
+// Rate of arriving requests that probe without a token, relative to the arrivals at relays without a failure.
 inline constexpr double kFreeProbeShare = 0.25;
-// Calls of all relays together in a window that are always allowed.
+// Calls per window, of all relays together, that are always allowed.
 inline constexpr double kMinProbesPerWindow = 1;
-// Spans of the shortest outage that the bound on a busy upstream covers.
+// Shortest outage, in spans, for which the rate to a frequently called upstream is bounded.
 inline constexpr double kShortOutageSpans = 0.4;
-// Calls expected between the end of the unbounded time after a first failure and the end of such an outage.
+// Calls expected between the start of the bound after a first failure and the end of such an outage.
 inline constexpr double kGraceCalls = 2.5;
-// Share that remains of an older healthy rate: a rate of long ago says less than a new one.
+// Factor by which the healthy rate known from an earlier failure is multiplied; old rates are less reliable.
 inline constexpr double kHealthyRateDecay = 0.8;
-// At up to this many relays, a request that an endpoint rejected as full waits at its relay: its client would
-// only take it to another relay, which is as full.
+// With up to this many relays, a request rejected by a full endpoint waits at its relay: the client could
+// only send it to another relay, which is limited in the same way.
 inline constexpr int kRejectionHoldRelays = 4;
 
 // Concurrency.
 
-// Calls in flight at which the next endpoint of the chain is used, in multiples of what the own share keeps
-// busy.
+// Calls in flight above which the next endpoint of the chain is preferred, as a multiple of the concurrency
+// that this relay's share of the endpoint's rating leads to.
 inline constexpr double kConcurrencyFactor = 2.5;
-// The same in calls, at least.
+// Lower bound of that number of calls.
 inline constexpr double kMinConcurrency = 2;
-// Share of the latency objective for which requests wait to share a call.
+// Share of the latency objective for which requests may wait to share a call.
 inline constexpr double kBatchWaitShare = 0.15;
-// Share of all calls that one upstream may have in flight: the others must still be reached.
+// Share of the concurrent calls that one upstream may use, so that capacity remains for the others.
 inline constexpr double kUpstreamConcurrencyShare = 0.6;
-// Share of all calls that all suspect endpoints together may have in flight: they may be lost.
+// Share of the concurrent calls that all suspect endpoints together may use, as these calls may be lost.
 inline constexpr double kSuspectConcurrencyShare = 0.3;
-// Share of all calls above which capacity is short, and one call is cancelled.
+// Share of the concurrent calls in use from which an overdue call is cancelled.
 inline constexpr double kBusyConcurrencyShare = 0.8;
-// Typical latencies after which a call may be cancelled.
+// Time in flight after which a call may be cancelled, as a multiple of the typical latency.
 inline constexpr double kCancelLatencyFactor = 8;
-// The same where later calls to its endpoint were answered first: it is lost, not slow.
+// The same if a call sent later to the endpoint has succeeded, so that the call is probably lost, not slow.
 inline constexpr double kOvertakenLatencyFactor = 3;
 
-// Load.
+// Load shedding and priority.
 
-// Share of the limit on pending requests above which the least weight of what comes is rejected.
+// Share of the limit on pending requests above which arriving requests of the lowest weight are rejected.
 inline constexpr double kShedThresholdShare = 0.9;
-// Share of the latency objective over which the loss by waiting is compared, at least.
+// Minimum horizon over which the weight lost by waiting is compared, as a share of the latency objective.
 inline constexpr double kLossHorizonShare = 0.25;
 
 // Connections.
 
-// Share that is trusted of an idle age found broken: ages found are seldom the shortest.
+// Share of a broken connection's idle age up to which connections are reused; shorter ages may fail as well.
 inline constexpr double kIdleAgeShare = 0.25;
-// Spans in which the trusted age doubles, so that a passing fault is forgotten.
+// Spans in which the usable age doubles, so that a temporary fault has no lasting effect.
 inline constexpr double kIdleAgeDoublingSpans = 2;
-// Rate of full connection tables of a kind above which its idle connections are closed at once.
+// Rate of full connection tables of an endpoint kind above which its idle connections are closed at once.
 inline constexpr double kTableFullThreshold = 0.05;
-// Weight of the newest call in the rates of refused connections and full tables of a kind.
+// Weight of the newest call in the rates of refused connections and full connection tables of a kind.
 inline constexpr double kConnectionRateWeight = 0.1;
-// Upper bound of the refusal rate that passes for a full table: an outage must still show.
+// Upper bound of the refusal rate that counts as normal; a higher bound would hide an outage.
 inline constexpr double kMaxConnectionRefusalRate = 0.3;
 
-// For settings that are not given, in ms and as a share.
+// Defaults of settings that are not given.
 
 // Settings::overloadWindowMs.
 inline constexpr double kDefaultOverloadWindowMs = 2000;
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -1,4 +1,4 @@
-// One batch from its events to its actions: the order of the steps. docs/design.md has the reasoning.
+// Runs one batch, from its events to its actions. docs/design.md explains the order of the steps.
 #include "myrtleloft/dispatcher.h"
 
 #include "policy/batch_scheduler.h"
@@ -14,8 +14,8 @@
 namespace {
 
 Settings withDefaults(Settings settings) {
-  const auto fill = [](auto& setting, auto otherwise) {
-    if (setting <= 0) setting = otherwise;
+  const auto fill = [](auto& setting, auto fallback) {
+    if (setting <= 0) setting = fallback;
   };
   fill(settings.overloadWindowMs, kDefaultOverloadWindowMs);
   fill(settings.slowStartMs, kDefaultSlowStartMs);
@@ -31,10 +31,10 @@
 
 }  // namespace
 
-// One dispatcher's parts, and the steps of a batch in their order.
-// Invariants: the parts refer to one another, so it is neither copied nor moved; an outcome counts only for
-// the newest attempt of a request in flight.
-// Thread safety: none; its user gives one batch after the other.
+// The components of one dispatcher, and the order of the steps of a batch.
+// Invariants: the components refer to one another, so the object is neither copied nor moved; an outcome is
+// applied only if it is that of the newest attempt of a request in flight.
+// Thread safety: none; the caller runs one batch at a time.
 class Dispatcher::Impl {
  public:
   explicit Impl(const Settings& settings);
@@ -48,13 +48,15 @@
   void handle(const EndpointListEvent& event);
   void handle(const TimerEvent& event) { timer_.recordExpiry(event.token); }
   void handle(const ClientDisconnectEvent& event);
-  // What a call's outcome says of its endpoint and upstream; `call`: as it was before it.
+  // Updates the endpoint and the upstream from an outcome of a call. `call` is its state before the outcome;
+  // `finished` says that all its requests now have their outcome.
   void recordCall(const Call& call, const OutcomeEvent& event, bool finished);
-  void forgetGone() { registry_.forgetGone(batch_, requests_, latency_); }
+  void removeUnused() { registry_.removeUnused(batch_, requests_, latency_); }
   double nextWakeMs() const;
 
   BatchContext batch_;
-  // The batch began with the cached list: its requests are from before a restart.
+  // Whether this batch contains the cached endpoint list, so that its requests were accepted before a
+  // restart.
   bool recovering_ = false;
   EndpointRegistry registry_;
   EndpointListWatch watch_;
@@ -78,7 +80,7 @@
 std::vector<Action> Dispatcher::Impl::run(double nowMs, const std::vector<Event>& events) {
   batch_.begin(nowMs);
   timer_.begin(nowMs);
-  if (nowMs - registry_.forgottenAtMs() >= batch_.settings.slowStartMs) forgetGone();
+  if (nowMs - registry_.lastRemovalMs() >= batch_.settings.slowStartMs) removeUnused();
   recovering_ = false;
   for (const Event& event : events) std::visit([this](const auto& each) { handle(each); }, event);
   shedder_.expireDue(batch_);
@@ -91,7 +93,7 @@
 }
 
 void Dispatcher::Impl::handle(const RequestEvent& event) {
-  const std::vector<ClassSettings>& classes = batch_.settings.classes;  // the last is for unknown ones
+  const std::vector<ClassSettings>& classes = batch_.settings.classes;  // the last is for unknown classes
   const std::size_t number = std::min(static_cast<std::size_t>(event.classIndex), classes.size() - 1);
   Request* request = requests_.add(event, classes[number], batch_.nowMs());
   if (!request) return;
@@ -104,7 +106,7 @@
   for (const AmbiguousAttempt& earlier : event.ambiguousAttempts)
     recordAmbiguousAttempt(batch_, *request, earlier.sentMs, earlier.zone);
   requests_.enqueue(*request);
-  // Accepted before a restart: its earlier attempts count as if they had been made here.
+  // A request accepted before a restart may already have used up its attempts.
   if (request->attempts > 0) shedder_.giveUpIfExhausted(batch_, *request);
 }
 
@@ -117,7 +119,7 @@
   recordCall(call, event, finished);
   const Outcome outcome = event.outcome;
   const bool ambiguous = outcome == kTimeout || outcome == kReset || outcome == kCancelled;
-  if (ambiguous) request->pauseKey(batch_.nowMs() + batch_.settings.orderHoldAfterAmbiguityMs);
+  if (ambiguous) request->pauseOrderKey(batch_.nowMs() + batch_.settings.orderHoldAfterAmbiguityMs);
   if (ambiguous || outcome == kFailure)
     recordAmbiguousAttempt(batch_, *request, call.sentMs, call.endpoint->zone);
   if (event.completed || request->completed || outcome == kSuccess) return requests_.complete(*request);
@@ -131,7 +133,7 @@
   if (event.kind == ListUpdateKind::kError) return watch_.recordFailure(batch_);
   if (event.kind != ListUpdateKind::kCached) watch_.recordAnswer();
   if (event.kind == ListUpdateKind::kCached) recovering_ = true;
-  forgetGone();
+  removeUnused();
   registry_.apply(batch_, event);
 }
 
@@ -147,19 +149,21 @@
   if (finished && (event.outcome == kSuccess || event.outcome == kFailure || event.outcome == kRejected))
     ConnectionReuse::addIdle(batch_, endpoint, recorder_.connectionTableFullRate(endpoint.kind));
   if (event.report.limitPerSecond) upstream.setReportedLimit(*event.report.limitPerSecond);
-  // A call of several requests may state Retry-After beside deliveries; kNotSent uses the field otherwise.
+  // A call of several requests may succeed for some of them and state Retry-After as well. For kNotSent the
+  // field has another meaning.
   const auto retryAfterMs = static_cast<double>(event.retryAfterMs);
   if (event.outcome != kNotSent && retryAfterMs > 0) upstream.setRetryAfter(batch_.nowMs() + retryAfterMs);
   if (!call.recorded) recorder_.record(batch_, call, event.outcome);
   if (event.outcome == kRejected && retryAfterMs > batch_.settings.overloadWindowMs)
-    upstream.recordShutdown(batch_, call.sentMs);
+    upstream.recordAnnouncedOutage(batch_, call.sentMs);
 }
 
 double Dispatcher::Impl::nextWakeMs() const {
   const double atMs = std::min(batch_.wakeAtMs(), watch_.pollAtMs());
   if (requests_.due().empty()) return atMs;
-  return std::min({atMs, requests_.due().begin()->first.sendByMs - batch_.settings.batchIntervalMs,
-                   batch_.nowMs() + batch_.settings.overloadWindowMs / 20});  // pauses end by time alone
+  return std::min(
+      {atMs, requests_.due().begin()->first.sendByMs - batch_.settings.batchIntervalMs,
+       batch_.nowMs() + batch_.settings.overloadWindowMs / 20});  // no event marks the end of a pause
 }
 
 Dispatcher::Dispatcher(const Settings& settings) : impl_(std::make_unique<Impl>(settings)) {}
--- a/src/policy/endpoint_list_watch.h
+++ b/src/policy/endpoint_list_watch.h
@@ -1,4 +1,4 @@
-// When to poll the endpoint list again.
+// Schedules the polls of the endpoint list.
 // Cost: constant.
 #pragma once
 
@@ -7,25 +7,26 @@
 
 namespace myrtleloft::policy {
 
-// Invariant: at most one poll is due; while one is pending, or where the list is not watched, none is
-// (kNever).
+// Invariant: at most one poll is scheduled, and none (kNever) while one is in progress or if the list is not
+// watched.
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class EndpointListWatch {
  public:
-  // Where it watches, the first poll is due at once; else none ever is.
+  // With `watches`, the first poll is due at once; otherwise none is ever due.
   explicit EndpointListWatch(bool watches) : pollAtMs_(watches ? 0 : kNever) {}
 
-  // When the next poll is due, in ms; kNever: none is.
+  // When the next poll is due, in ms; kNever if none is scheduled.
   double pollAtMs() const { return pollAtMs_; }
-  // A poll was answered.
+  // Records a successful poll, which resets the backoff.
   void recordAnswer() { failures_ = 0; }
-  // A poll failed: the next is due after a backoff, by chance, as relays must not poll in step.
+  // Records a failed poll and schedules the next after an exponential backoff with jitter, which keeps relays
+  // from polling at the same time.
   void recordFailure(BatchContext& batch);
-  // Emits a poll where one is due.
+  // Emits a WatchEndpointListAction if a poll is due.
   void pollIfDue(BatchContext& batch);
 
  private:
-  int failures_ = 0;  // in a row
+  int failures_ = 0;  // consecutive
   double pollAtMs_;
 };
 
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -10,51 +10,53 @@
     Endpoint& endpoint = at->second;
     if (isNew) add(batch, endpoint, info);
     endpoint.zone = info.zone;
-    endpoint.cost = endpoint.separateLimit ? batch.settingOf(batch.settings.zoneCosts, info.zone, 0.0) : 0;
+    endpoint.cost = endpoint.separateLimit ? batch.settingOr(batch.settings.zoneCosts, info.zone, 0.0) : 0;
     endpoint.rating = batch.settings.ratingKind == RatingKind::kNone ? 0 : info.rating;
     endpoint.upstream->setListedRate(endpoint.rating);
     endpoint.setOpen(info.state == EndpointState::kRunning, batch.nowMs());
   }
 }
 
-void EndpointRegistry::forgetGone(const BatchContext& batch, RequestTable& requests, LatencyTable& latency) {
+void EndpointRegistry::removeUnused(const BatchContext& batch, RequestTable& requests,
+                                    LatencyTable& latency) {
   const double nowMs = batch.nowMs();
-  forgottenAtMs_ = nowMs;
-  requests.forgetOrderedQueues(nowMs);
+  lastRemovalMs_ = nowMs;
+  requests.removeUnusedOrderedQueues(nowMs);
   const double memoryMs = kFailureMemorySpans * batch.settings.slowStartMs;
-  forgetEndpoints(requests, latency, [=](const Endpoint& endpoint) {
-    return !endpoint.open && endpoint.calls.empty() && nowMs - endpoint.closedMs > memoryMs &&
+  removeEndpoints(requests, latency, [=](const Endpoint& endpoint) {
+    return !endpoint.open && endpoint.calls.empty() && nowMs - endpoint.closedAtMs > memoryMs &&
            nowMs >= endpoint.upstream->retryAfterUntilMs();
   });
-  forgetDestinations(nowMs);
+  removeUnusedDestinations(nowMs);
 }
 
 void EndpointRegistry::grantProbeForArrival(BatchContext& batch, const Destination& destination) {
   Upstream* failed = nullptr;
   for (const Endpoint* endpoint : destination.endpoints) {
-    // A probe granted while it is shut would wait, and leave with those of all other relays.
-    if (!endpoint->open || endpoint->upstream->statesShutdown(batch.nowMs())) continue;
-    if (!endpoint->upstream->letsArrivalsProbe(batch)) return;
+    // A probe granted during an announced outage would wait for its end and be sent together with the probes
+    // of all other relays.
+    if (!endpoint->open || endpoint->upstream->outageAnnounced(batch.nowMs())) continue;
+    if (!endpoint->upstream->arrivalsMayProbe(batch)) return;
     if (!endpoint->upstream->slowStarted() || !failed) failed = endpoint->upstream;
   }
   if (!failed) return;
   const double spanMs = batch.settings.slowStartMs;
-  const double arrivalRate = decayedPerSecond(batch, destination.arrivals, spanMs) / failed->sharers();
+  const double arrivalRate = decayedPerSecond(batch, destination.arrivals, spanMs) / failed->upstreamCount();
   const double arrivals = arrivalRate * kFailureMemorySpans * spanMs / 1000;
   failed->setFreeProbe(batch.drawUniform() < kFreeProbeShare / std::max(1e-9, std::expm1(arrivals)));
 }
 
 void EndpointRegistry::add(const BatchContext& batch, Endpoint& endpoint, const EndpointInfo& info) {
-  Destination& its = destination(info.destination);
+  Destination& owner = destination(info.destination);
   endpoint.id = info.endpoint;
   endpoint.kind = info.kind;
   const int kind = std::max(0, info.kind);
-  endpoint.separateLimit = batch.settingOf(batch.settings.kindHasSeparateLimits, kind, false);
-  endpoint.batchSize = std::max(1, batch.settingOf(batch.settings.kindBatchSize, kind, 1));
-  endpoint.upstream = endpoint.separateLimit ? &endpoint.ownUpstream : &its.sharedUpstream;
-  endpoint.upstream->attach(its, endpoint.separateLimit, batch.nowMs());
-  its.arrivals.start(batch.nowMs());
-  its.endpoints.push_back(&endpoint);
+  endpoint.separateLimit = batch.settingOr(batch.settings.kindHasSeparateLimits, kind, false);
+  endpoint.batchSize = std::max(1, batch.settingOr(batch.settings.kindBatchSize, kind, 1));
+  endpoint.upstream = endpoint.separateLimit ? &endpoint.ownUpstream : &owner.sharedUpstream;
+  endpoint.upstream->attach(owner, endpoint.separateLimit, batch.nowMs());
+  owner.arrivals.start(batch.nowMs());
+  owner.endpoints.push_back(&endpoint);
 }
 
 }  // namespace myrtleloft::policy
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -1,5 +1,5 @@
-// The endpoints and destinations that are known, by the endpoint list.
-// Cost: an update goes through the entries of the list, one that is no delta through all endpoints too.
+// Keeps the known endpoints and destinations up to date with the endpoint list.
+// Cost: an update is linear in the entries of the list; a complete list is linear in all endpoints as well.
 #pragma once
 
 #include "policy/latency_tracker.h"
@@ -7,24 +7,25 @@
 
 namespace myrtleloft::policy {
 
-// Invariants: an endpoint has its upstream from the moment it is added; one that has left the list is closed,
-// and is forgotten only when nothing known of it matters any more.
+// Invariants: every endpoint has an upstream; an endpoint that has left the list is closed, and is removed
+// only when no call is in flight to it, its Retry-After is over and its failures are too old to matter.
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class EndpointRegistry : public EndpointTable {
  public:
-  // Takes in a list, or changes of it: adds, updates, opens and closes endpoints.
+  // Applies a complete list or a delta: adds, updates, opens and closes endpoints.
   void apply(const BatchContext& batch, const EndpointListEvent& event);
-  // Forgets, in all tables, the endpoints, destinations and ordering keys that no longer matter.
-  void forgetGone(const BatchContext& batch, RequestTable& requests, LatencyTable& latency);
-  // A request arrived: where all endpoints saw failures, it may be one that probes without a token.
+  // Removes unused endpoints, destinations and ordering keys from all tables.
+  void removeUnused(const BatchContext& batch, RequestTable& requests, LatencyTable& latency);
+  // Called for each arriving request. If all open endpoints of the destination have a pending failure, grants
+  // one of them, with a probability that falls with the arrival rate, a probe without a token.
   static void grantProbeForArrival(BatchContext& batch, const Destination& destination);
-  // When forgetGone last ran, in ms; 0: never.
-  double forgottenAtMs() const { return forgottenAtMs_; }
+  // When removeUnused last ran, in ms; 0 if never.
+  double lastRemovalMs() const { return lastRemovalMs_; }
 
  private:
   void add(const BatchContext& batch, Endpoint& endpoint, const EndpointInfo& info);
 
-  double forgottenAtMs_ = 0;
+  double lastRemovalMs_ = 0;
 };
 
 }  // namespace myrtleloft::policy
--- a/src/policy/fallback_chain.cpp
+++ b/src/policy/fallback_chain.cpp
@@ -3,33 +3,36 @@
 namespace myrtleloft::policy {
 namespace {
 
-// Whether a call to the endpoint may begin now; if it may later, the batch wakes then.
+// Whether a call to the endpoint may start now. If the rate limit permits it only later, schedules a wake-up.
 bool hasCapacity(BatchContext& batch, const LatencyTracker& latency, const Endpoint& endpoint,
                  int suspectCalls) {
   if (!endpoint.open) return false;
   Upstream& upstream = *endpoint.upstream;
-  const double at = upstream.availableAtMs(batch);
-  if (at > batch.nowMs()) batch.wakeNoLaterThan(at);
+  const double availableMs = upstream.availableAtMs(batch);
+  if (availableMs > batch.nowMs()) batch.wakeNoLaterThan(availableMs);
   const double mostCalls = batch.settings.maxConcurrentCalls * kUpstreamConcurrencyShare;
-  if (at > batch.nowMs() || upstream.callsInFlight() >= std::max(1, static_cast<int>(mostCalls)) ||
+  if (availableMs > batch.nowMs() || upstream.callsInFlight() >= std::max(1, static_cast<int>(mostCalls)) ||
       static_cast<int>(endpoint.calls.size()) >= endpoint.connectionLimit)
     return false;
   if (!latency.suspect(batch, endpoint)) return true;
-  // One call at a time; past a silent one another goes once that one had its time: it may be lost.
-  const double silentMs = kSilentLatencyFactor * latency.typicalMs(endpoint);
-  if (!endpoint.calls.empty() && batch.nowMs() - endpoint.newestCall()->sentMs < silentMs) return false;
-  return (!upstream.ejected() || upstream.callsInFlight() < (latency.silent(batch, endpoint) ? 2 : 1)) &&
+  // A suspect endpoint gets one call at a time. If it is unresponsive, a second call is allowed once the
+  // first has been in flight for some time, as that one may be lost.
+  const double unresponsiveAfterMs = kUnresponsiveLatencyFactor * latency.typicalMs(endpoint);
+  if (!endpoint.calls.empty() && batch.nowMs() - endpoint.newestCall()->sentMs < unresponsiveAfterMs)
+    return false;
+  return (!upstream.ejected() ||
+          upstream.callsInFlight() < (latency.unresponsive(batch, endpoint) ? 2 : 1)) &&
          suspectCalls < maxSuspectCalls(batch);
 }
 
-// What it counts as load, in multiples of the calls up to which its cost decides.
+// Calls in flight to the endpoint, as a multiple (rounded down) of the number up to which cost alone decides.
 double loadOf(const BatchContext& batch, const LatencyTracker& latency, const Endpoint& endpoint) {
-  double busyCalls = 1;
+  double expectedCalls = 1;
   if (endpoint.separateLimit) {
     const double share = kConcurrencyFactor * endpoint.rating / batch.settings.instanceCount;
-    busyCalls = std::max(kMinConcurrency, share * latency.typicalMs(endpoint) / 1000);
+    expectedCalls = std::max(kMinConcurrency, share * latency.typicalMs(endpoint) / 1000);
   }
-  return std::floor(static_cast<double>(endpoint.calls.size()) / busyCalls);
+  return std::floor(static_cast<double>(endpoint.calls.size()) / expectedCalls);
 }
 
 }  // namespace
@@ -64,9 +67,10 @@
   for (const RankedEndpoint& ranked : chain) {
     Endpoint* endpoint = ranked.endpoint;
     if (!mayAttempt(batch, request, *endpoint)) continue;
-    // One that is not safe to retry waits for proof while its time allows: an error would lose it for good.
+    // A failure would end a request that is not safe to retry. While there is time, it waits until the
+    // endpoint has proven healthy.
     if (!safeToRetry(request) && (latency.suspect(batch, *endpoint) || endpoint->upstream->unproven()) &&
-        request.deadlineMs - batch.nowMs() > 2 * kSilentLatencyFactor * latency.typicalMs(*endpoint))
+        request.deadlineMs - batch.nowMs() > 2 * kUnresponsiveLatencyFactor * latency.typicalMs(*endpoint))
       continue;
     if (!request.triedAt(endpoint)) return endpoint;
     if (!triedBefore) triedBefore = endpoint;
--- a/src/policy/fallback_chain.h
+++ b/src/policy/fallback_chain.h
@@ -1,10 +1,10 @@
-// The endpoints of a destination that have capacity, in the order of use.
+// Ranks the endpoints of a destination that have capacity, and selects one for a request.
 //
 //     FallbackChain chain = rankEndpoints(batch, latency, destination, suspectCalls);
 //     if (Endpoint* endpoint = selectEndpoint(batch, latency, request, chain)) ...
 //
-// Cost: ranking sorts the endpoints of the destination; selecting goes through the chain once.
-// Thread safety: functions without state; what they are given belongs to the dispatcher that owns it.
+// Cost: ranking sorts the endpoints of the destination; selecting is linear in the chain.
+// Thread safety: the functions have no state; their arguments belong to one dispatcher and are not shared.
 #pragma once
 
 #include <compare>
@@ -16,34 +16,34 @@
 
 namespace myrtleloft::policy {
 
-// An endpoint with what decides its place in the chain; compared from the first field to the last.
+// An endpoint with its sort key: the fields are compared in this order, and the smaller is used first.
 struct RankedEndpoint {
   bool suspect;
-  double load;           // calls in flight, in multiples of what its share keeps busy, rounded down
-  double cost;           // see costOf, and a little for a lower rating
-  std::size_t distance;  // from this relay's own place in the list, so that relays begin at different ones
+  double load;           // calls in flight as a multiple of the expected concurrency, rounded down
+  double cost;           // costOf, plus a small penalty for a rating below the best
+  std::size_t distance;  // offset from this relay's start in the list; spreads relays over the endpoints
   Endpoint* endpoint;
   auto operator<=>(const RankedEndpoint&) const = default;  // NOLINT(modernize-use-nullptr): as in DueKey
 };
 using FallbackChain = std::vector<RankedEndpoint>;
 
-// What a call to the endpoint costs by the settings and its rejections, 0 or more. Inline: evaluated for each
-// endpoint.
+// Cost of a call to the endpoint, 0 or more: its configured cost, the cost of crossing zones, and a penalty
+// for recent rejections. Inline because it is evaluated for each endpoint.
 inline double costOf(const BatchContext& batch, const Endpoint& endpoint) {
   const bool crossesZones = batch.settings.zone >= 0 && endpoint.zone != batch.settings.zone;
   return 0.1 * endpoint.rejectionRate + endpoint.cost + (crossesZones ? batch.settings.crossZoneCost : 0);
 }
 
-// How many calls may be in flight at suspect endpoints, 1 or more.
+// Maximum number of calls in flight to all suspect endpoints together, 1 or more.
 double maxSuspectCalls(const BatchContext& batch);
 
-// The open endpoints with capacity for a call now, the best first. Sets the wake time for those that will
-// have some.
+// Returns the open endpoints with capacity for a call now, best first. Schedules a wake-up for the endpoints
+// that will have capacity later.
 FallbackChain rankEndpoints(BatchContext& batch, const LatencyTracker& latency,
                             const Destination& destination, int suspectCalls);
 
-// The first endpoint of the chain at which the request may be attempted, one that it has not tried before
-// others; null: none.
+// Returns the first endpoint of the chain at which the request may be attempted, preferring endpoints that it
+// has not tried. Returns nullptr if there is none.
 Endpoint* selectEndpoint(const BatchContext& batch, const LatencyTracker& latency, const Request& request,
                          const FallbackChain& chain);
 
--- a/src/policy/latency_tracker.h
+++ b/src/policy/latency_tracker.h
@@ -1,4 +1,4 @@
-// The typical latency of each endpoint and of all, and what it says of calls in flight.
+// Tracks the typical latency of each endpoint and the mean of all, and detects unresponsive endpoints by it.
 // Cost: constant, without allocation.
 #pragma once
 
@@ -6,34 +6,35 @@
 
 namespace myrtleloft::policy {
 
-// Invariant: a typical latency is an exponentially weighted mean of the endpoint's answer times; 0 until the
-// first.
+// Invariant: a typical latency is an exponentially weighted moving average of the latencies of the endpoint's
+// successful calls, 0 before the first.
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class LatencyTracker : public LatencyTable {
  public:
-  // The mean of all endpoints' typical latencies in ms, kDefaultLatencyMs while none is known.
+  // Mean of the typical latencies of all endpoints in ms, kDefaultLatencyMs while none is known.
   double meanOrDefaultMs() const { return meanMs() > 0 ? meanMs() : kDefaultLatencyMs; }
-  // The endpoint's typical latency in ms, the mean of all while it is not known; above 0.
+  // Typical latency of the endpoint in ms, above 0; the mean of all endpoints while it is not known.
   double typicalMs(const Endpoint& endpoint) const {
     return endpoint.typicalLatencyMs > 0 ? endpoint.typicalLatencyMs : meanOrDefaultMs();
   }
-  // A call to the endpoint was answered after `tookMs`, 0 or more.
+  // Records that a call to the endpoint succeeded after `tookMs`, 0 or more.
   void record(Endpoint& endpoint, double tookMs);
-  // Whether a call is in flight for long, and nothing came back since.
-  bool silent(const BatchContext& batch, const Endpoint& endpoint) const;
-  // Whether calls to it are likely to fail: it is silent, or ejected without a success since.
+  // Whether no call to the endpoint has succeeded for kUnresponsiveLatencyFactor typical latencies while one
+  // was in flight all that time.
+  bool unresponsive(const BatchContext& batch, const Endpoint& endpoint) const;
+  // Whether calls to the endpoint are likely to fail: it is unresponsive, or ejected without a success since.
   bool suspect(const BatchContext& batch, const Endpoint& endpoint) const;
 };
 
-// Inline, as the next: evaluated for each endpoint whenever endpoints are ranked.
-inline bool LatencyTracker::silent(const BatchContext& batch, const Endpoint& endpoint) const {
+// This function and the next are inline because they are evaluated for each endpoint at each ranking.
+inline bool LatencyTracker::unresponsive(const BatchContext& batch, const Endpoint& endpoint) const {
   if (endpoint.calls.empty()) return false;
   const double sinceMs = std::max(endpoint.calls.begin()->second->sentMs, endpoint.lastSuccessMs);
-  return batch.nowMs() - sinceMs > kSilentLatencyFactor * typicalMs(endpoint);
+  return batch.nowMs() - sinceMs > kUnresponsiveLatencyFactor * typicalMs(endpoint);
 }
 
 inline bool LatencyTracker::suspect(const BatchContext& batch, const Endpoint& endpoint) const {
-  return silent(batch, endpoint) || endpoint.upstream->awaitsRecovery();
+  return unresponsive(batch, endpoint) || endpoint.upstream->awaitsRecovery();
 }
 
 }  // namespace myrtleloft::policy
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -30,7 +30,7 @@
 }
 
 void LoadShedder::rejectUnattempted(BatchContext& batch) {
-  std::vector<Request*> hopeless;
+  std::vector<Request*> unattemptable;
   const auto rare = [](const Endpoint* endpoint) { return endpoint->upstream->callsAreRare(); };
   for (const auto& [id, destination] : requests_.waiting()) {
     if (std::ranges::none_of(destination->endpoints, rare)) continue;
@@ -38,12 +38,12 @@
     for (const QueuedRequest& queued : byUrgency(batch, latency_, *destination)) {
       const double attempts = attemptsInTime(batch, *queued.request);
       if (arrivedNow(batch, *queued.request) && mayReject(*queued.request) && attempts < ahead + 1)
-        hopeless.push_back(queued.request);
+        unattemptable.push_back(queued.request);
       else
         ++ahead;
     }
   }
-  for (Request* request : hopeless) giveUp(batch, *request, batch.settings.maxRetryAfterMs);
+  for (Request* request : unattemptable) giveUp(batch, *request, batch.settings.maxRetryAfterMs);
 }
 
 bool LoadShedder::arrivedNow(const BatchContext& batch, const Request& request) {
@@ -51,11 +51,11 @@
 }
 
 double LoadShedder::retryAfterMs(const BatchContext& batch, const Destination& destination) const {
-  double at = batch.nowMs() + batch.settings.overloadWindowMs;
+  double retryAtMs = batch.nowMs() + batch.settings.overloadWindowMs;
   for (const Endpoint* endpoint : destination.endpoints)
     if (endpoint->open && !latency_.suspect(batch, *endpoint))
-      at = std::min(at, endpoint->upstream->blockedUntilMs());
-  return std::max(at - batch.nowMs(), latency_.meanOrDefaultMs());
+      retryAtMs = std::min(retryAtMs, endpoint->upstream->blockedUntilMs());
+  return std::max(retryAtMs - batch.nowMs(), latency_.meanOrDefaultMs());
 }
 
 void LoadShedder::giveUp(BatchContext& batch, Request& request, double retryAfterMs) {
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -3,14 +3,14 @@
 namespace myrtleloft::policy {
 
 void OutcomeRecorder::record(BatchContext& batch, const Call& call, Outcome outcome) {
-  if (outcome == Outcome::kNotSent) return;  // a cancelled call counts as timed out
+  if (outcome == Outcome::kNotSent) return;  // whereas kCancelled counts as a failure
   Endpoint& endpoint = *call.endpoint;
   Upstream& upstream = *endpoint.upstream;
   const bool rejected = outcome == Outcome::kRejected;
   const bool refused = outcome == Outcome::kConnectFailed;
   updateRates(batch, call, outcome);
-  if (outcome != Outcome::kSuccess) upstream.recordFault(batch, call.sentMs, rejected);
-  if (connections_.brokenByIdling(batch, endpoint, call, outcome)) return;
+  if (outcome != Outcome::kSuccess) upstream.recordUnsuccessfulCall(batch, call.sentMs, rejected);
+  if (connections_.brokeOnIdleConnection(batch, endpoint, call, outcome)) return;
   if (outcome == Outcome::kSuccess) {
     recordSuccess(batch, call);
   } else if (rejected) {
@@ -18,7 +18,8 @@
     upstream.recordRejection(batch, call.sentMs, backgroundRejectionRate_);
   } else if (refused && endpoint.lastSuccessMs > call.sentMs - batch.settings.connectTimeoutMs &&
              !endpoint.calls.empty()) {
-    endpoint.connectionLimit = static_cast<int>(endpoint.calls.size());  // no outage: other calls succeed
+    endpoint.connectionLimit =
+        static_cast<int>(endpoint.calls.size());  // the endpoint is up, as other calls succeed
   } else {
     const double refusalRate = std::min(connectionRefusalRate_[endpoint.kind], kMaxConnectionRefusalRate);
     upstream.recordFailure(batch, call.sentMs, !refused, refused ? refusalRate : backgroundFailureRate_);
@@ -34,7 +35,8 @@
     backgroundRejectionRate_ += (rejected - backgroundRejectionRate_) * kBackgroundWeight;
     if (!rejected) backgroundFailureRate_ += (failed - backgroundFailureRate_) * kBackgroundWeight;
   }
-  // A full table refuses a new connection, or takes it and rejects its first call, without Retry-After.
+  // An endpoint with a full connection table either refuses a new connection, or accepts it and rejects its
+  // first call without Retry-After.
   const bool unexplained = rejected && !call.idleMs && upstream.retryAfterUntilMs() <= batch.nowMs();
   double& refusalRate = connectionRefusalRate_[call.endpoint->kind];
   double& tableFullRate = connectionTableFullRate_[call.endpoint->kind];
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -24,10 +24,10 @@
 }
 
 void OutlierDetector::updateOdds(const BatchContext& batch, double likelihoodRatio) {
-  const double growth = (batch.nowMs() - updatedMs_) / (batch.settings.slowStartMs * kOutageIntervalSpans);
+  const double growth = (batch.nowMs() - lastUpdateMs_) / (batch.settings.slowStartMs * kOutageIntervalSpans);
   const double prior = std::min(kMaxPriorOdds, outageOdds_ + growth);
   outageOdds_ = std::min(kMaxOutageOdds, std::max(outageOdds_, prior) * likelihoodRatio);
-  updatedMs_ = batch.nowMs();
+  lastUpdateMs_ = batch.nowMs();
 }
 
 }  // namespace myrtleloft::policy
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,4 +1,4 @@
-// Whether one upstream is out, by the outcomes of its calls.
+// Estimates from the outcomes of its calls whether an upstream has an outage.
 //
 //     outliers.recordFailure(batch, expectedFailureRate);
 //     if (outliers.outageLikely()) outliers.eject(batch.nowMs());
@@ -14,49 +14,53 @@
 
 namespace myrtleloft::policy {
 
-// Holds the odds that the upstream is out, the runs of successes and rejections, and whether it is ejected.
-// It decides nothing by itself: its upstream ejects and readmits.
-// Invariants: the odds are in [0, kMaxOutageOdds]; a run of successes has no failure in it, a run of
-// rejections no success.
+// Holds the odds of an outage, the numbers of consecutive successes and rejections, and whether the upstream
+// is ejected. It does not eject or readmit by itself; class Upstream decides that.
+// Invariants: the odds are in [0, kMaxOutageOdds]; a failure resets the count of successes, and a success
+// resets that of rejections.
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class OutlierDetector {
  public:
-  // Whether it is no longer used, apart from what slow start permits.
+  // Whether the upstream is ejected: it gets only the calls that slow start permits.
   bool ejected() const { return ejectedAtMs_.has_value(); }
-  // Whether it was ejected after a call that was sent at `sentMs`.
+  // Whether the upstream is ejected, and was ejected after `sentMs`.
   bool ejectedAfter(double sentMs) const { return ejected() && sentMs < *ejectedAtMs_; }
-  // Whether an outage is at least as likely as none.
+  // Whether the odds of an outage are at least even.
   bool outageLikely() const { return outageOdds_ >= 1; }
   // Successes since the last failure, 0 or more.
   std::int64_t successes() const { return successes_; }
   // Rejections since the last success, 0 or more.
   int rejections() const { return rejections_; }
 
-  // A call succeeded; `backgroundFailureRate`: share of calls in [0, 1] that fail at upstreams that are not
-  // ejected.
+  // Records a successful call. `backgroundFailureRate` is the share of calls, in [0, 1], that fail at
+  // upstreams that are not ejected.
   void recordSuccess(const BatchContext& batch, double backgroundFailureRate);
-  // A call failed; `expectedFailureRate`: share of calls in [0, 1] that fail that way without an outage.
+  // Records a failed call. `expectedFailureRate` is the share of calls, in [0, 1], that fail in this way
+  // without an outage.
   void recordFailure(const BatchContext& batch, double expectedFailureRate);
-  // A call was rejected as full.
+  // Records a call that was rejected for lack of capacity.
   void recordRejection(double nowMs);
-  // Whether the rejections in a row are more than chance brings (share of calls in [0, 1] that are rejected
-  // elsewhere): the upstream is shut, not merely above its limit.
+  // Whether the consecutive rejections are too many and last too long to be explained by a rate limit, so
+  // that the upstream must be rejecting all calls. `backgroundRejectionRate` is the share (0 to 1) of calls
+  // that are rejected at upstreams that are not ejected.
   bool rejectsAll(const BatchContext& batch, double backgroundRejectionRate) const;
-  // Its earlier successes say nothing any more.
+  // Resets the count of successes.
   void restartSuccesses() { successes_ = 0; }
-  // Marks it as ejected from now on.
+  // Marks the upstream as ejected since `nowMs`.
   void eject(double nowMs) { ejectedAtMs_ = nowMs; }
-  // Marks it as in use again; the odds stay.
+  // Marks the upstream as not ejected; the odds are unchanged.
   void readmit() { ejectedAtMs_.reset(); }
 
  private:
-  // The odds grow with the time unseen, and a call counts by how unlike it is to calls elsewhere.
+  // Bayesian update: time without calls raises the prior odds up to kMaxPriorOdds, then the odds are
+  // multiplied by the likelihood ratio of the outcome, which is its probability in an outage over that
+  // without one.
   void updateOdds(const BatchContext& batch, double likelihoodRatio);
 
   double outageOdds_ = 0;
-  double updatedMs_ = 0;
-  std::int64_t successes_ = 0;  // in a row
-  int rejections_ = 0;          // in a row
+  double lastUpdateMs_ = 0;
+  std::int64_t successes_ = 0;  // since the last failure
+  int rejections_ = 0;          // since the last success
   double firstRejectionMs_ = 0;
   std::optional<double> ejectedAtMs_;
 };
--- a/src/policy/rate_limiter.cpp
+++ b/src/policy/rate_limiter.cpp
@@ -5,37 +5,37 @@
 void AdaptiveRateLimiter::decrease(const BatchContext& batch, double sentMs, int rejections,
                                    const DecayedRate& sent, const DecayedRate& delivered) {
   const double windowMs = batch.settings.overloadWindowMs;
-  if (sentMs >= decreasedMs_) {
+  if (sentMs >= lastDecreaseMs_) {
     const double sentRate = std::max(decayedPerSecond(batch, sent, windowMs), kMinRatePerSecond);
     threshold_ = std::min(ratePerSecond_, sentRate);
-    // Never under half of what was lately delivered: decreases upon decreases end in a standstill.
+    // At least half of the recently delivered rate remains, as repeated decreases would stop all calls.
     const double deliveredRate = decayedPerSecond(batch, delivered, batch.settings.slowStartMs);
-    const double least = std::max({fairShare(batch), deliveredRate * 0.5, kMinRatePerSecond});
-    ratePerSecond_ = std::max(threshold_ * kDecreaseFactor, least);
-    decreasedMs_ = batch.nowMs();
-    increasedMs_ = batch.nowMs();
+    const double minimumRate = std::max({fairShare(batch), deliveredRate * 0.5, kMinRatePerSecond});
+    ratePerSecond_ = std::max(threshold_ * kDecreaseFactor, minimumRate);
+    lastDecreaseMs_ = batch.nowMs();
+    lastIncreaseMs_ = batch.nowMs();
   }
   const double pauseMs = 1000 / ratePerSecond_ * std::pow(2, std::max(0, rejections - 1));
   pausedUntilMs_ = batch.nowMs() + std::min(pauseMs, windowMs * 0.5);
 }
 
-bool AdaptiveRateLimiter::decreaseToPart(const BatchContext& batch, double sentMs, int rejections) {
-  if (sentMs < decreasedMs_) return false;
-  threshold_ = std::max(part(batch), threshold_ * kSparseDecreaseFactor);
-  ratePerSecond_ = part(batch) * std::exp2(-std::clamp(rejections - 1, 0, 2));
-  decreasedMs_ = batch.nowMs();
-  increasedMs_ = batch.nowMs();
+bool AdaptiveRateLimiter::decreaseSparse(const BatchContext& batch, double sentMs, int rejections) {
+  if (sentMs < lastDecreaseMs_) return false;
+  threshold_ = std::max(slowStartCapacityShare(batch), threshold_ * kSparseDecreaseFactor);
+  ratePerSecond_ = slowStartCapacityShare(batch) * std::exp2(-std::clamp(rejections - 1, 0, 2));
+  lastDecreaseMs_ = batch.nowMs();
+  lastIncreaseMs_ = batch.nowMs();
   return true;
 }
 
 void AdaptiveRateLimiter::increase(const BatchContext& batch, bool queueEmpty, const DecayedRate& sent) {
   if (ratePerSecond_ == kNever) return;
-  const double sinceS = (batch.nowMs() - increasedMs_) / 1000;
-  increasedMs_ = batch.nowMs();
+  const double sinceS = (batch.nowMs() - lastIncreaseMs_) / 1000;
+  lastIncreaseMs_ = batch.nowMs();
   if (sparseTraffic(batch)) {
-    const double more = threshold_ * (queueEmpty ? 1 : 1 + kSparseIncrease);
+    const double increased = threshold_ * (queueEmpty ? 1 : 1 + kSparseIncrease);
     const double recovered = threshold_ * std::exp(sinceS * kSparseRecovery);
-    restartAt(std::min(recovered, std::max(more, listedShare(batch))));
+    restartAt(std::min(recovered, std::max(increased, listedShare(batch))));
     return;
   }
   const double growth = ratePerSecond_ < threshold_ * 0.9 ? kFastIncrease : kSlowIncrease;
--- a/src/policy/rate_limiter.h
+++ b/src/policy/rate_limiter.h
@@ -1,4 +1,5 @@
-// The rate of one upstream: a token bucket with additive increase and multiplicative decrease.
+// Adaptive rate limiter of one upstream: a token bucket whose rate increases with successes and decreases
+// multiplicatively with rejections.
 //
 //     limiter.decrease(batch, sentMs, rejections, sent, delivered);   // with a rejection
 //     limiter.increase(batch, queueEmpty, sent);                      // with a success
@@ -14,52 +15,56 @@
 
 namespace myrtleloft::policy {
 
-// Events a second, counted over a share kMinObservedShare of the time constant at least.
+// Events per second, averaged over at least kMinObservedShare of the time constant.
 inline double decayedPerSecond(const BatchContext& batch, const DecayedRate& rate, double timeConstantMs) {
   return rate.perSecond(batch.nowMs(), timeConstantMs, timeConstantMs * kMinObservedShare);
 }
 
-// The rate that rejections and successes lead to. Where a relay sends less than a call in a window (sparse
-// traffic), single rejections say little, and the rate stays near the listed share.
-// Invariants: the rate is above 0, kNever while no limit is known, and the threshold has no meaning then;
-// times of a decrease never run backwards.
+// The rate at which one relay may call one upstream. Traffic is sparse if the relay's share of the upstream's
+// capacity during slow start is less than one call per overload window. A single rejection then says little
+// about the relay's own rate, so the rate stays near the relay's share of the listed limit.
+// Invariants: the rate is above 0; it is kNever while no limit is known, and the threshold is then unused.
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class AdaptiveRateLimiter {
  public:
-  TokenBucket bucket;  // a call takes one token; its upstream refills it
+  TokenBucket bucket;  // a call takes one token; class Upstream refills it
 
-  // Calls a second; kNever: no limit known.
+  // Calls per second; kNever if no limit is known.
   double ratePerSecond() const { return ratePerSecond_; }
-  // Until when rejections pause all calls, in ms; -kNever: no pause.
+  // When the pause after the latest rejection ends, in ms; -kNever if there was none.
   double pausedUntilMs() const { return pausedUntilMs_; }
-  // Sets the limit of the endpoint list in calls a second for all relays together; 0: none listed.
+  // Sets the limit from the endpoint list, in calls per second for all relays together; 0 if none is listed.
   void setListedRate(double perSecond) { listedRate_ = perSecond; }
-  // Sets the limit of a load report in calls a second for all relays together; it goes before the listed one.
+  // Sets the limit from a load report, in calls per second for all relays together. It takes precedence over
+  // the listed limit.
   void setReportedLimit(double perSecond) { reportedLimit_ = perSecond; }
 
-  // This relay's part of the known limit, in calls a second, that is safe to use; 0: none known.
+  // The part of the reported or listed limit that this relay may safely use, in calls per second; 0 if no
+  // limit is known.
   double fairShare(const BatchContext& batch) const;
-  // Whether less than a call in a window is the own part of what the upstream takes at its slowest.
+  // Whether this relay's share of the upstream's initial capacity in a slow start is less than one call per
+  // overload window.
   bool sparseTraffic(const BatchContext& batch) const;
-  // A call sent at `sentMs` was rejected, as `rejections` in a row were: lowers the rate, where no later
-  // decrease covers the call, and pauses.
+  // Records the rejection of a call sent at `sentMs`, the last of `rejections` consecutive ones: decreases
+  // the rate, unless it was already decreased after the call was sent, and pauses all calls.
   void decrease(const BatchContext& batch, double sentMs, int rejections, const DecayedRate& sent,
                 const DecayedRate& delivered);
-  // The same for sparse traffic, where one rejection says only that all together were above the limit. False:
-  // the call was sent before the last decrease, and nothing changed.
-  bool decreaseToPart(const BatchContext& batch, double sentMs, int rejections);
-  // A call succeeded: raises the rate, and lifts the limit where the rate is far above what is sent.
+  // Decreases the rate in sparse traffic, where a rejection only shows that all relays together exceeded the
+  // limit. Returns false, without any change, if the rate was already decreased after the call was sent.
+  bool decreaseSparse(const BatchContext& batch, double sentMs, int rejections);
+  // Records a success: increases the rate, and removes the limit if the rate is far above the rate of calls.
   void increase(const BatchContext& batch, bool queueEmpty, const DecayedRate& sent);
-  // From now on no limit is known.
+  // Removes the limit.
   void lift() { ratePerSecond_ = kNever; }
-  // For sparse traffic without a limit: begins at the listed share, with a drawn part of a token.
+  // In sparse traffic without a limit, starts at the relay's share of the listed limit with a random fraction
+  // of a token, so that relays do not send their first calls at the same time.
   void startIfSparse(BatchContext& batch);
-  // Sets the rate and the threshold, in calls a second; the rate is returned.
+  // Sets both the rate and the threshold, in calls per second. Returns the rate.
   double restartAt(double perSecond);
 
  private:
-  // The own part of what the upstream takes at its slowest, in calls a second.
-  double part(const BatchContext& batch) const {
+  // This relay's share of the upstream's initial capacity in a slow start, in calls per second.
+  double slowStartCapacityShare(const BatchContext& batch) const {
     return listedRate_ * batch.settings.overloadFactor * batch.settings.slowStartShare * kRampBudget /
            batch.settings.instanceCount;
   }
@@ -68,18 +73,18 @@
   }
 
   double ratePerSecond_ = kNever;
-  double threshold_ = kNever;  // the last rejected rate: above it the rate grows slowly
-  double decreasedMs_ = -kNever;
-  double increasedMs_ = 0;
+  double threshold_ = kNever;  // rate at the last decrease; above it the rate grows slowly
+  double lastDecreaseMs_ = -kNever;
+  double lastIncreaseMs_ = 0;
   double pausedUntilMs_ = -kNever;
   double listedRate_ = 0;
   double reportedLimit_ = 0;
 };
 
-// Inline, as those below: evaluated for each endpoint whenever endpoints are ranked.
+// This function and those below are inline because they are evaluated for each endpoint at each ranking.
 inline bool AdaptiveRateLimiter::sparseTraffic(const BatchContext& batch) const {
   return batch.settings.instanceCount > kRejectionHoldRelays && listedRate_ > 0 &&
-         part(batch) * batch.settings.overloadWindowMs < 1000;
+         slowStartCapacityShare(batch) * batch.settings.overloadWindowMs < 1000;
 }
 
 inline double AdaptiveRateLimiter::fairShare(const BatchContext& batch) const {
@@ -92,7 +97,7 @@
   if (ratePerSecond_ != kNever || !sparseTraffic(batch)) return;
   restartAt(listedShare(batch));
   bucket.fill(batch.nowMs(), batch.drawUniform());
-  increasedMs_ = batch.nowMs();
+  lastIncreaseMs_ = batch.nowMs();
 }
 
 inline double AdaptiveRateLimiter::restartAt(double perSecond) {
--- a/src/policy/request_priority.cpp
+++ b/src/policy/request_priority.cpp
@@ -19,7 +19,8 @@
   double requestsPerSecond = 0;
   for (const Endpoint* endpoint : destination.endpoints)
     requestsPerSecond += endpoint->open ? endpoint->upstream->currentRate(batch) * endpoint->batchSize : 0;
-  // Where more waits than the rate takes, what is fresh goes before what has lost its weight already.
+  // The horizon is at least the time to send the whole queue. If the queue exceeds the rate, recent requests
+  // are then preferred to those that have already lost most of their weight.
   const double queueMs = 1000 * static_cast<double>(destination.queue.size()) / requestsPerSecond;
   const double soonMs = batch.nowMs() + latency.meanMs();
   std::vector<QueuedRequest> order;
--- a/src/policy/request_priority.h
+++ b/src/policy/request_priority.h
@@ -1,6 +1,6 @@
-// What a request counts at a time, and the order in which the requests of a destination are sent.
+// The weight of a request over time, and the order in which the requests of a destination are sent.
 // Cost: weightAt is constant; byUrgency sorts all requests that wait for the destination.
-// Thread safety: functions without state; the requests belong to the dispatcher that owns them.
+// Thread safety: the functions have no state; the requests belong to one dispatcher and are not shared.
 #pragma once
 
 #include <compare>
@@ -11,25 +11,26 @@
 
 namespace myrtleloft::policy {
 
-// By what is lost by waiting, most first, then by the objective; the smaller goes first.
+// Sort key of a waiting request: the more weight it loses by waiting, the earlier it is sent; ties are broken
+// by the earlier latency objective.
 struct Urgency {
-  double negativeLoss;  // of priority weight
+  double negativeLoss;  // minus the weight lost by waiting, so that a larger loss sorts first
   double objectiveMs;
   auto operator<=>(const Urgency&) const = default;  // NOLINT(modernize-use-nullptr): as in DueKey
 };
 
-// A request that waits, with its urgency in this batch.
+// A waiting request with its urgency in this batch.
 struct QueuedRequest {
   Urgency urgency;
   Request* request;
 };
 
-// The weight of a delivery at that time: the priority weight within the objective, less after it, 0 past the
-// deadline.
+// Weight of a delivery at `atMs`: the full priority weight within the latency objective, decaying to the late
+// weight after it, and 0 past the deadline.
 double weightAt(const BatchContext& batch, const Request& request, double atMs);
 
-// The requests that wait for the destination, the most urgent first, in the order accepted where they are as
-// urgent.
+// Returns the requests that wait for the destination, most urgent first; equally urgent requests are in the
+// order in which they were accepted.
 std::vector<QueuedRequest> byUrgency(BatchContext& batch, const LatencyTracker& latency,
                                      const Destination& destination);
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -6,7 +6,7 @@
 
 bool mayReject(const Request& request) {
   const ClassSettings& settings = *request.settings;
-  return !request.mayHaveRun() || settings.idempotency == Idempotency::kIdempotent ||
+  return !request.mayHaveExecuted() || settings.idempotency == Idempotency::kIdempotent ||
          (settings.idempotency == Idempotency::kIdempotentWithKey &&
           settings.deduplicationScope == DeduplicationScope::kDestination);
 }
@@ -17,13 +17,14 @@
   };
   return request.ambiguousZones.size() >= kMaxAmbiguousAttempts ||
          (batch.settings.maxAttempts > 0 && request.attempts >= batch.settings.maxAttempts) ||
-         (request.mayHaveRun() && std::ranges::none_of(request.destination->endpoints, permitted));
+         (request.mayHaveExecuted() && std::ranges::none_of(request.destination->endpoints, permitted));
 }
 
 void recordAmbiguousAttempt(const BatchContext& batch, Request& request, double sentMs, int zone) {
-  // The end of its idempotency window, less what a call may wait for its connection.
+  // Further attempts must arrive within the idempotency window even if they wait for a connection as long as
+  // connecting may take.
   const double windowMs = request.settings->idempotencyWindowMs * kIdempotencyWindowShare;
-  if (!request.mayHaveRun() && request.settings->idempotency == Idempotency::kIdempotentWithKey)
+  if (!request.mayHaveExecuted() && request.settings->idempotency == Idempotency::kIdempotentWithKey)
     request.sendByMs = std::min(request.deadlineMs, sentMs + windowMs - batch.settings.connectTimeoutMs);
   request.ambiguousZones.push_back(zone);
 }
@@ -32,9 +33,9 @@
   double timeoutMs = request.deadlineMs - batch.nowMs();
   if (safeToRetry(request)) {
     const double share = request.ambiguousZones.size() + 1 < kMaxAmbiguousAttempts ? kAttemptTimeShare : 1;
-    const double patienceMs =
+    const double latencyLimitMs =
         std::max(kTimeoutLatencyFactor * typicalLatencyMs, request.objectiveSpanMs * kTimeoutObjectiveFactor);
-    timeoutMs = std::min(timeoutMs * share, patienceMs * std::exp2(request.timeouts));
+    timeoutMs = std::min(timeoutMs * share, latencyLimitMs * std::exp2(request.timeouts));
     if (request.settings->idempotency == Idempotency::kIdempotentWithKey)
       timeoutMs = std::min(timeoutMs, request.settings->idempotencyWindowMs * kAttemptTimeShare);
   }
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -28,14 +28,15 @@
 
 void SlowStart::recordRecovery(const BatchContext& batch, bool ejected) {
   const double spanMs = batch.settings.slowStartMs;
-  // Failing for long, but never ejected: its share doubles with each answer, whatever the time.
+  // Brief failures without an ejection end here. After long failures without an ejection, the slow start
+  // counts as started one span ago, so that the share depends on the number of successes only.
   if (!ejected && batch.nowMs() - firstFailureMs_ < kShortOutageSpans * spanMs) end();
   if (!failurePending()) return;
   if (!started()) startedAtMs_ = ejected ? batch.nowMs() : batch.nowMs() - spanMs;
-  freeProbe_ = !busy(batch);  // few requests wait: each answer allows a call
+  freeProbe_ = !busy(batch);  // with rare calls, each success allows another call
 }
 
-void SlowStart::setBack(double nowMs) {
+void SlowStart::halveProgress(double nowMs) {
   if (started()) startedAtMs_ = (startedAtMs_ + nowMs) / 2;
 }
 
--- a/src/policy/upstream.cpp
+++ b/src/policy/upstream.cpp
@@ -21,12 +21,12 @@
   const double rate = rateOfSlowStart(batch, share);
   if (share < 1) return std::min(limiter_.ratePerSecond(), rate);
   readmit();
-  // A backlog sent all at once would meet the limit: the rate goes on where the ramp ended.
+  // The rate continues where the ramp ended: without a limit, the backlog would be sent at once and rejected.
   return limiter_.restartAt(std::max(rate, kMinRatePerSecond));
 }
 
 double Upstream::rateOfSlowStart(const BatchContext& batch, double share) const {
-  const double queued = slowStart_.busy(batch) ? 0 : waitingSinceFailure() / sharers();
+  const double queued = slowStart_.busy(batch) ? 0 : waitingSinceFailure() / upstreamCount();
   const double capacity = slowStart_.capacityShare(batch, limiter_.fairShare(batch), queued);
   const double windowMs = batch.settings.overloadWindowMs;
   return std::max(capacity * batch.settings.overloadFactor * share * slowStart_.budget(batch),
@@ -53,12 +53,13 @@
   }
   const bool isBounded = bounded(batch);
   const bool probes = isBounded && callsAreRare_;
-  // One not used lapses: those saved through a quiet outage would be spent by hundreds at once.
-  if (probes && limiter_.bucket.refilledMs() < nowMs && limiter_.bucket.tokens() >= slowStart_.probeToken())
+  // An unused probe expires. Otherwise hundreds of relays could accumulate probes during an outage without
+  // traffic, and send them all at once.
+  if (probes && limiter_.bucket.lastRefillMs() < nowMs && limiter_.bucket.tokens() >= slowStart_.probeToken())
     drawProbeToken(batch);
-  const bool saves = limiter_.sparseTraffic(batch) && outliers_.rejections() == 0;
-  const double saved = saves ? kSparseBurst : std::max(1.0, rate * kBurstSeconds);
-  double burst = isBounded ? 1 : saved;
+  const bool accumulates = limiter_.sparseTraffic(batch) && outliers_.rejections() == 0;
+  const double unboundedBurst = accumulates ? kSparseBurst : std::max(1.0, rate * kBurstSeconds);
+  double burst = isBounded ? 1 : unboundedBurst;
   if (probes) burst = kNever;
   limiter_.bucket.refill(nowMs, rate, isBounded ? windowMs * 0.1 : kNever, burst);
   const double needed = probes ? slowStart_.probeToken() : 1;
@@ -67,17 +68,18 @@
 }
 
 void Upstream::spend(BatchContext& batch, int sizeBefore, int sizeAfter) {
-  const double call = sizeBefore > 0 ? 0 : 1;
-  const int further = sizeAfter - std::max(1, sizeBefore);
-  const double cost = bounded(batch) ? call + kFurtherRequestWeight * further : call;
+  const double newCallTokens = sizeBefore > 0 ? 0 : 1;
+  const int furtherRequests = sizeAfter - std::max(1, sizeBefore);
+  const double cost =
+      bounded(batch) ? newCallTokens + kFurtherRequestWeight * furtherRequests : newCallTokens;
   limiter_.bucket.spend(cost);
   slowStart_.setFreeProbe(false);
   if (callsAreRare_ && bounded(batch)) drawProbeToken(batch);
 }
 
-void Upstream::recordFault(BatchContext& batch, double sentMs, bool rejected) {
+void Upstream::recordUnsuccessfulCall(BatchContext& batch, double sentMs, bool rejected) {
   const bool expected = rejected && !slowStart_.failurePending() && limiter_.sparseTraffic(batch);
-  if (!expected) noteFailure(batch, sentMs);
+  if (!expected) recordPendingFailure(batch, sentMs);
 }
 
 void Upstream::recordSuccess(const BatchContext& batch, double sentMs, int size,
@@ -85,12 +87,13 @@
   outliers_.recordSuccess(batch, backgroundFailureRate);
   if (!ejected())
     delivered_.add(batch.nowMs(), batch.settings.slowStartMs, 1 + kFurtherRequestWeight * (size - 1));
-  // Answered, though sent before the ejection: calls get lost, but nothing was ever down. The bound stays. Of
-  // what has stated to be out, such an answer says nothing.
+  // A call that was sent before the ejection has succeeded: calls were lost, but the upstream had no outage.
+  // It is readmitted, and slow start still bounds its rate. During an announced outage, such a success proves
+  // nothing.
   if (awaitsRecovery() && outliers_.ejectedAfter(sentMs) && !outliers_.outageLikely() &&
-      !statesShutdown(batch.nowMs()))
+      !outageAnnounced(batch.nowMs()))
     outliers_.readmit();
-  if (slowStart_.provenBy(sentMs)) slowStart_.recordRecovery(batch, ejected());
+  if (slowStart_.recoveryShownBy(sentMs)) slowStart_.recordRecovery(batch, ejected());
   limiter_.increase(batch, traffic_->queue.empty(), sent_);
 }
 
@@ -98,16 +101,17 @@
   outliers_.recordRejection(batch.nowMs());
   decreaseRate(batch, sentMs);
   if (outliers_.rejectsAll(batch, backgroundRejectionRate)) {
-    noteFailure(batch, sentMs);
+    recordPendingFailure(batch, sentMs);
     eject(batch);
   }
   if (ejected() && outliers_.rejections() >= 3) slowStart_.restart();
 }
 
-void Upstream::recordShutdown(BatchContext& batch, double sentMs) {
-  shutUntilMs_ = retryAfterUntilMs_;
-  noteFailure(batch, sentMs);
-  slowStart_.recordFailure(std::max(batch.nowMs(), shutUntilMs_), sentMs);  // it lasts until then
+void Upstream::recordAnnouncedOutage(BatchContext& batch, double sentMs) {
+  announcedOutageUntilMs_ = retryAfterUntilMs_;
+  recordPendingFailure(batch, sentMs);
+  const double outageEndMs = std::max(batch.nowMs(), announcedOutageUntilMs_);
+  slowStart_.recordFailure(outageEndMs, sentMs);
   eject(batch);
   outliers_.restartSuccesses();
   slowStart_.restart();
@@ -115,19 +119,19 @@
 }
 
 void Upstream::recordFailure(BatchContext& batch, double sentMs, bool connected, double expectedFailureRate) {
-  if (connected) slowStart_.setBack(batch.nowMs());
+  if (connected) slowStart_.halveProgress(batch.nowMs());
   outliers_.recordFailure(batch, expectedFailureRate);
-  if (!outliers_.outageLikely()) return;  // calls lost here and there: no outage, nor the end of a ramp
+  if (!outliers_.outageLikely()) return;  // isolated failures are no outage and do not restart the ramp
   decreaseRate(batch, sentMs);
   slowStart_.restart();
   eject(batch);
 }
 
-void Upstream::noteFailure(BatchContext& batch, double sentMs) {
+void Upstream::recordPendingFailure(BatchContext& batch, double sentMs) {
   if (!slowStart_.failurePending()) {
     const double delivered = decayedPerSecond(batch, delivered_, batch.settings.slowStartMs);
     const double arrivals = decayedPerSecond(batch, traffic_->arrivals, batch.settings.slowStartMs);
-    limiter_.bucket.setTokens(slowStart_.recordFirstFailure(batch, delivered, arrivals / sharers()));
+    limiter_.bucket.setTokens(slowStart_.recordFirstFailure(batch, delivered, arrivals / upstreamCount()));
   }
   slowStart_.recordFailure(batch.nowMs(), sentMs);
 }
@@ -136,7 +140,7 @@
   if (ejected()) return;
   if (!limiter_.sparseTraffic(batch)) {
     limiter_.decrease(batch, sentMs, outliers_.rejections(), sent_, delivered_);
-  } else if (limiter_.decreaseToPart(batch, sentMs, outliers_.rejections())) {
+  } else if (limiter_.decreaseSparse(batch, sentMs, outliers_.rejections())) {
     drawProbeToken(batch);
     limiter_.bucket.setTokens(1 - slowStart_.probeToken());
   }
@@ -145,8 +149,8 @@
 void Upstream::eject(const BatchContext& batch) {
   if (ejected()) return;
   outliers_.eject(batch.nowMs());
-  delivered_.restart(batch.nowMs());  // what is delivered from now on says nothing of health
-  limiter_.lift();  // slow start limits: a rate decreased by failed probes would never come back
+  delivered_.restart(batch.nowMs());  // the rate delivered while ejected is not a healthy rate
+  limiter_.lift();  // slow start bounds the rate; failed probes would decrease the limiter's rate permanently
 }
 
 void Upstream::readmit() {
--- a/src/policy/upstream.h
+++ b/src/policy/upstream.h
@@ -1,5 +1,5 @@
-// What one limit covers: an endpoint with its own, or all endpoints of a destination. Joins what bounds its
-// calls: the rate limiter, the outlier detector and slow start.
+// The unit to which a capacity limit applies: one endpoint with a limit of its own, or all endpoints of a
+// destination. Combines the rate limiter, the outlier detector and slow start that bound the calls to it.
 //
 //     if (upstream.availableAtMs(batch) <= batch.nowMs()) {
 //       upstream.beginCall();
@@ -19,92 +19,99 @@
 
 namespace myrtleloft::policy {
 
-// Invariants: ejected only while slow start bounds the rate; attached once, before all else, to traffic that
-// outlives it.
+// Invariants: an ejected upstream has a pending failure, so slow start bounds its rate; `attach` is called
+// once, before any other member, and the traffic outlives the upstream.
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class Upstream {
  public:
-  // Makes it the upstream of one endpoint of the destination with that traffic, or of all of them.
+  // Makes this the upstream of one endpoint (`isOneEndpoint`) or of all endpoints of the destination to which
+  // `traffic` belongs.
   void attach(DestinationTraffic& traffic, bool isOneEndpoint, double nowMs);
-  // Sets the limit of the endpoint list in calls a second for all relays together; 0: none listed.
+  // Sets the limit from the endpoint list, in calls per second for all relays together; 0 if none is listed.
   void setListedRate(double perSecond) { limiter_.setListedRate(perSecond); }
-  // Sets the limit of a load report in calls a second for all relays together.
+  // Sets the limit from a load report, in calls per second for all relays together.
   void setReportedLimit(double perSecond) { limiter_.setReportedLimit(perSecond); }
-  // Takes no call before that time; an earlier one than known changes nothing.
+  // Records a Retry-After: no call is sent before `untilMs`. A time before the one already known is ignored.
   void setRetryAfter(double untilMs) { retryAfterUntilMs_ = std::max(retryAfterUntilMs_, untilMs); }
-  // Sets whether the next call takes no token.
+  // Sets whether the next call needs no token.
   void setFreeProbe(bool granted) { slowStart_.setFreeProbe(granted); }
 
-  // The traffic of its destination.
+  // The traffic of the destination.
   DestinationTraffic& traffic() const { return *traffic_; }
-  // Among how many upstreams the traffic of the destination is shared, 1 or more.
-  double sharers() const { return isOneEndpoint_ ? static_cast<double>(traffic_->endpoints.size()) : 1; }
-  // Whether it is out by the outcomes of its calls.
+  // Number of upstreams among which the traffic of the destination is divided, 1 or more.
+  double upstreamCount() const {
+    return isOneEndpoint_ ? static_cast<double>(traffic_->endpoints.size()) : 1;
+  }
+  // Whether outlier detection has ejected the upstream.
   bool ejected() const { return outliers_.ejected(); }
-  // Whether it is ejected, without a success since.
+  // Whether the upstream is ejected and no call has succeeded since.
   bool awaitsRecovery() const { return ejected() && !slowStart_.started(); }
-  // Whether it is ejected, with too few successes for requests that are not safe to retry.
+  // Whether the upstream is ejected and has had too few successes for requests that are not safe to retry.
   bool unproven() const { return ejected() && outliers_.successes() < kProvenSuccesses; }
   // Whether slow start bounds the rate.
   bool bounded(const BatchContext& batch) const { return slowStart_.bounds(batch.nowMs(), ejected()); }
   // Whether a call that was sent after the failures has succeeded.
   bool slowStarted() const { return slowStart_.started(); }
-  // Whether it has stated to be out until a later time.
-  bool statesShutdown(double nowMs) const { return nowMs < shutUntilMs_; }
-  // Whether a request that arrives may be allowed to probe without a token.
-  bool letsArrivalsProbe(const BatchContext& batch) const {
+  // Whether the upstream has announced an outage, by a long Retry-After, that lasts beyond `nowMs`.
+  bool outageAnnounced(double nowMs) const { return nowMs < announcedOutageUntilMs_; }
+  // Whether an arriving request may be granted a probe without a token.
+  bool arrivalsMayProbe(const BatchContext& batch) const {
     return slowStart_.failurePending() && !slowStart_.freeProbe() && !slowStart_.busy(batch);
   }
-  // Whether the rate was less than a call in a window when availability was last computed.
+  // Whether the rate was less than one call per overload window when availableAtMs was last called.
   bool callsAreRare() const { return callsAreRare_; }
-  // Whether calls are rare, and not for rejections alone.
+  // Whether calls are so rare that some requests cannot be attempted in time. False with a probe granted, for
+  // an upstream that was frequently called while healthy, and if there are few relays and the upstream has
+  // only rejected calls at its limit.
   bool callsAreRationed(const BatchContext& batch) const;
-  // Until when it stated to take nothing, in ms; -kNever: it never did.
+  // When the latest Retry-After ends, in ms; -kNever if there was none.
   double retryAfterUntilMs() const { return retryAfterUntilMs_; }
-  // Until when no call is sent, by its statement or after rejections, in ms.
+  // Until when no call is sent because of a Retry-After or a pause after rejections, in ms.
   double blockedUntilMs() const { return std::max(retryAfterUntilMs_, limiter_.pausedUntilMs()); }
-  // The rate of the calls that were sent.
+  // Rate of the calls sent to the upstream.
   const DecayedRate& sent() const { return sent_; }
-  // How many calls to it are in flight, 0 or more.
+  // Number of calls in flight to the upstream.
   int callsInFlight() const { return callsInFlight_; }
-  // Successes since the last failure, 0 or more.
+  // Number of successes since the last failure.
   std::int64_t successes() const { return outliers_.successes(); }
 
-  // Calls a second, above 0; kNever: no limit known. Ends a slow start that is over.
+  // Calls per second, above 0; kNever if no limit is known. Ends a slow start that is complete or expired.
   double currentRate(BatchContext& batch);
-  // When the next call may be sent, in ms; now or earlier: at once. Refills the tokens.
+  // Refills the token bucket and returns when the next call may be sent, in ms; now or earlier means at once.
   double availableAtMs(BatchContext& batch);
-  // A call grew from `sizeBefore` requests (0: it is new) to `sizeAfter`: takes the tokens for that.
+  // Takes the tokens for a call that grew from `sizeBefore` requests (0 if it is new) to `sizeAfter`.
   void spend(BatchContext& batch, int sizeBefore, int sizeAfter);
-  // One more call is in flight.
+  // Counts a call as in flight.
   void beginCall() { ++callsInFlight_; }
-  // One call less is in flight.
+  // Counts a call as no longer in flight.
   void endCall() { --callsInFlight_; }
-  // A call was sent.
+  // Adds a call to the rate of calls sent.
   void recordSend(const BatchContext& batch) { sent_.add(batch.nowMs(), batch.settings.overloadWindowMs); }
 
-  // A call sent at `sentMs` did not succeed; before recordRejection or recordFailure of the same call.
-  void recordFault(BatchContext& batch, double sentMs, bool rejected);
-  // A call of `size` requests succeeded; `backgroundFailureRate`: share of calls in [0, 1] that fail
-  // elsewhere.
+  // Records that a call sent at `sentMs` did not succeed. Must precede recordRejection or recordFailure for
+  // the same call.
+  void recordUnsuccessfulCall(BatchContext& batch, double sentMs, bool rejected);
+  // Records the success of a call of `size` requests. `backgroundFailureRate` is the share (0 to 1) of calls
+  // that fail at upstreams that are not ejected.
   void recordSuccess(const BatchContext& batch, double sentMs, int size, double backgroundFailureRate);
-  // A call was rejected as full; `backgroundRejectionRate`: share of calls in [0, 1] that are rejected
-  // elsewhere.
+  // Records a call that was rejected for lack of capacity. `backgroundRejectionRate` is the share of calls,
+  // in [0, 1], that are rejected at upstreams that are not ejected.
   void recordRejection(BatchContext& batch, double sentMs, double backgroundRejectionRate);
-  // A call sent at `sentMs` was rejected for longer than a limit takes to have capacity again: the upstream
-  // is out, and all relays that were told so may call at one moment.
-  void recordShutdown(BatchContext& batch, double sentMs);
-  // A call failed, with or without a connection; `expectedFailureRate`: share of calls in [0, 1] that fail
-  // that way without an outage.
+  // Records a rejection whose Retry-After is longer than the overload window, so that a rate limit cannot be
+  // its cause: the upstream has an outage. Ejects it, because all relays that were given the same Retry-After
+  // could otherwise call at the moment when it ends.
+  void recordAnnouncedOutage(BatchContext& batch, double sentMs);
+  // Records a failed call. `connected` is false if its connection was refused; `expectedFailureRate` is the
+  // share of calls, in [0, 1], that fail in this way without an outage.
   void recordFailure(BatchContext& batch, double sentMs, bool connected, double expectedFailureRate);
 
  private:
-  void noteFailure(BatchContext& batch, double sentMs);
+  void recordPendingFailure(BatchContext& batch, double sentMs);
   void decreaseRate(BatchContext& batch, double sentMs);
   void eject(const BatchContext& batch);
   void readmit();
   void drawProbeToken(BatchContext& batch);
-  // How many requests wait that came since the first failure.
+  // Number of waiting requests that arrived since the batch of the first failure.
   double waitingSinceFailure() const;
   double rateOfSlowStart(const BatchContext& batch, double share) const;
 
@@ -113,7 +120,7 @@
   bool callsAreRare_ = false;
   int callsInFlight_ = 0;
   double retryAfterUntilMs_ = -kNever;
-  double shutUntilMs_ = -kNever;  // by its latest rejection that no limit explains
+  double announcedOutageUntilMs_ = -kNever;  // end of the outage that recordAnnouncedOutage last recorded
   DecayedRate sent_;
   DecayedRate delivered_;
   OutlierDetector outliers_;
@@ -121,11 +128,11 @@
   AdaptiveRateLimiter limiter_;
 };
 
-// Inline: evaluated for each request that waits and each of its endpoints.
+// Inline because it is evaluated for each waiting request and each endpoint of its destination.
 inline bool Upstream::callsAreRationed(const BatchContext& batch) const {
-  const bool merelyFull =
+  const bool onlyOverLimit =
       batch.settings.instanceCount <= kRejectionHoldRelays && outliers_.rejections() > 0 && !ejected();
-  return callsAreRare_ && !merelyFull && !slowStart_.freeProbe() && !slowStart_.busy(batch);
+  return callsAreRare_ && !onlyOverLimit && !slowStart_.freeProbe() && !slowStart_.busy(batch);
 }
 
 }  // namespace myrtleloft::policy
--- a/src/state/batch_context.h
+++ b/src/state/batch_context.h
@@ -1,5 +1,8 @@
-// What the steps of a batch share: settings, time, chance, the actions decided so far and when to wake. No
-// step sees the clock or another source of chance, so that a seed and the events determine all actions.
+// The context that the steps of a batch share: settings, time, random numbers, the actions decided so far and
+// the next wake-up. No step reads a clock or uses another source of randomness, so the seed and the events
+// determine all actions.
+// Cost: constant.
+// Thread safety: none; each dispatcher has its own.
 #pragma once
 
 #include <algorithm>
@@ -14,6 +17,7 @@
 
 namespace myrtleloft::policy {
 
+// A time that is never reached, also used for a rate without a limit.
 inline constexpr double kNever = std::numeric_limits<double>::infinity();
 
 class BatchContext {
@@ -23,32 +27,40 @@
       longestLifetimeMs_ = std::max(longestLifetimeMs_, each.maxLifetimeMs);
   }
 
-  const Settings settings;  // with a default for all that was not given
+  const Settings settings;  // with defaults for values that were not given
 
+  // Starts a batch at `nowMs`, without actions or a wake-up.
   void begin(double nowMs) {
     ++number_;
     nowMs_ = nowMs;
     wakeAtMs_ = kNever;
     actions_.clear();
   }
+  // The longest ClassSettings::maxLifetimeMs.
   double longestLifetimeMs() const { return longestLifetimeMs_; }
   double nowMs() const { return nowMs_; }
-  // Of this batch, counted from 1: two batches may have the same time.
+  // Number of this batch, counted from 1. Identifies the batch, as several batches may have the same time.
   std::uint64_t number() const { return number_; }
-  // Of a kind or a zone, by its number; a negative one has none.
+  // Returns the setting of the kind or zone with that number, `fallback` if the list has none for it (as for
+  // any negative number).
   template <class Value>
-  static Value settingOf(const std::vector<Value>& settings, int number, Value otherwise) {
+  static Value settingOr(const std::vector<Value>& settings, int number, Value fallback) {
     const auto at = static_cast<std::size_t>(number);
-    return at < settings.size() ? settings[at] : otherwise;
+    return at < settings.size() ? settings[at] : fallback;
   }
+  // A random number from [0, 1).
   double drawUniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  // A random number with an exponential distribution of mean 1.
   double drawExponential() { return std::exponential_distribution<double>(1)(random_); }
+  // Appends an action to those of the batch.
   template <class Kind>
   void emit(Kind action) {
     actions_.emplace_back(std::move(action));
   }
   std::vector<Action> takeActions() { return std::exchange(actions_, {}); }
+  // Requests a wake-up at `atMs`, unless an earlier one is requested.
   void wakeNoLaterThan(double atMs) { wakeAtMs_ = std::min(wakeAtMs_, atMs); }
+  // Time of the requested wake-up in ms, kNever if there is none.
   double wakeAtMs() const { return wakeAtMs_; }
 
  private:
--- a/src/state/call_table.cpp
+++ b/src/state/call_table.cpp
@@ -20,16 +20,16 @@
   ++request.attempts;
 }
 
-CallTable::Answer CallTable::recordOutcome(std::int64_t id) {
+CallTable::RecordedOutcome CallTable::recordOutcome(std::int64_t id) {
   const auto found = calls_.find(id);
-  Answer answer{found->second, --found->second.pending == 0};
+  RecordedOutcome result{found->second, --found->second.pending == 0};
   found->second.recorded = true;
-  if (answer.finished) {
-    answer.call.endpoint->calls.erase(id);
-    answer.call.endpoint->upstream->endCall();
+  if (result.finished) {
+    result.call.endpoint->calls.erase(id);
+    result.call.endpoint->upstream->endCall();
     calls_.erase(found);
   }
-  return answer;
+  return result;
 }
 
 }  // namespace myrtleloft::policy
--- a/src/state/decayed_rate.h
+++ b/src/state/decayed_rate.h
@@ -1,4 +1,4 @@
-// Events a second, decayed exponentially with a time constant.
+// Rate of events per second, with exponential decay of older events. Cost: constant. Thread safety: none.
 #pragma once
 
 #include <algorithm>
@@ -8,33 +8,38 @@
 
 class DecayedRate {
  public:
-  bool started() const { return sinceMs_ >= 0; }
-  double newestMs() const { return newestMs_; }
-  void start(double nowMs) {  // from now on silence counts as well
-    if (!started()) sinceMs_ = nowMs;
+  // Whether the observation period has begun.
+  bool started() const { return observedSinceMs_ >= 0; }
+  // Time of the last event or restart in ms; 0 before the first.
+  double lastEventMs() const { return lastEventMs_; }
+  // Begins the observation period, unless it has begun; time without events counts from then on.
+  void start(double nowMs) {
+    if (!started()) observedSinceMs_ = nowMs;
   }
+  // Discards all events and begins a new observation period.
   void restart(double nowMs) {
     sum_ = 0;
-    newestMs_ = nowMs;
-    sinceMs_ = nowMs;
+    lastEventMs_ = nowMs;
+    observedSinceMs_ = nowMs;
   }
+  // Adds `count` events at `nowMs`.
   void add(double nowMs, double timeConstantMs, double count = 1) {
     start(nowMs);
-    sum_ = sum_ * std::exp(-(nowMs - newestMs_) / timeConstantMs) + count;
-    newestMs_ = nowMs;
+    sum_ = sum_ * std::exp(-(nowMs - lastEventMs_) / timeConstantMs) + count;
+    lastEventMs_ = nowMs;
   }
-  // Counted over a span of at least leastMs.
-  double perSecond(double nowMs, double timeConstantMs, double leastMs) const {
+  // Returns the rate, averaged over at least `minimumSpanMs`; 0 before the observation period begins.
+  double perSecond(double nowMs, double timeConstantMs, double minimumSpanMs) const {
     if (!started()) return 0;
-    const double seenMs = std::max(nowMs - sinceMs_, leastMs);
-    return sum_ * std::exp(-(nowMs - newestMs_) / timeConstantMs) /
-           (timeConstantMs * (1 - std::exp(-seenMs / timeConstantMs))) * 1000;
+    const double observedMs = std::max(nowMs - observedSinceMs_, minimumSpanMs);
+    return sum_ * std::exp(-(nowMs - lastEventMs_) / timeConstantMs) /
+           (timeConstantMs * (1 - std::exp(-observedMs / timeConstantMs))) * 1000;
   }
 
  private:
   double sum_ = 0;
-  double newestMs_ = 0;
-  double sinceMs_ = -1;  // -1: not started
+  double lastEventMs_ = 0;
+  double observedSinceMs_ = -1;  // -1 before `start`
 };
 
 }  // namespace myrtleloft::policy
--- a/src/state/endpoint_table.cpp
+++ b/src/state/endpoint_table.cpp
@@ -8,21 +8,21 @@
   return destination;
 }
 
-void EndpointTable::forgetEndpoints(RequestTable& requests, LatencyTable& latency,
-                                    const std::function<bool(const Endpoint&)>& gone) {
-  std::erase_if(endpoints_, [&](const auto& named) {
-    const Endpoint& endpoint = named.second;
-    if (!gone(endpoint)) return false;
+void EndpointTable::removeEndpoints(RequestTable& requests, LatencyTable& latency,
+                                    const std::function<bool(const Endpoint&)>& isUnused) {
+  std::erase_if(endpoints_, [&](const auto& entry) {
+    const Endpoint& endpoint = entry.second;
+    if (!isUnused(endpoint)) return false;
     std::erase(endpoint.upstream->traffic().endpoints, &endpoint);
-    requests.forgetEndpoint(endpoint);
-    latency.forget(endpoint);
+    requests.removeTriedEndpoint(endpoint);
+    latency.remove(endpoint);
     return true;
   });
 }
 
-void EndpointTable::forgetDestinations(double nowMs) {
-  std::erase_if(destinations_, [nowMs](const auto& named) {
-    const Destination& destination = named.second;
+void EndpointTable::removeUnusedDestinations(double nowMs) {
+  std::erase_if(destinations_, [nowMs](const auto& entry) {
+    const Destination& destination = entry.second;
     return destination.requests == 0 && destination.endpoints.empty() &&
            nowMs >= destination.sharedUpstream.retryAfterUntilMs();
   });
--- a/src/state/endpoint_table.h
+++ b/src/state/endpoint_table.h
@@ -1,5 +1,6 @@
-// The endpoints and the destinations that are known.
-// Cost: logarithmic for one destination; forgetting goes through all endpoints and all requests.
+// Tables of the known endpoints and destinations.
+// Cost: a lookup is logarithmic in the destinations; removing endpoints scans all endpoints, and all requests
+// for each endpoint that is removed.
 #pragma once
 
 #include <cstddef>
@@ -13,22 +14,23 @@
 
 namespace myrtleloft::policy {
 
-// Invariants: an endpoint is listed once by the traffic of its upstream; an endpoint or a destination keeps
-// its address until it is forgotten, so that calls, requests and upstreams may point to it.
+// Invariants: an endpoint is listed exactly once in the traffic of its upstream; endpoints and destinations
+// have stable addresses until they are removed, so that calls, requests and upstreams may point to them.
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class EndpointTable {
  public:
   // All endpoints by their id.
   std::map<std::string, Endpoint>& endpoints() { return endpoints_; }
-  // How many endpoints are known, those that have left the list but are not yet forgotten included.
+  // Number of known endpoints, including those that have left the list but have not been removed yet.
   std::size_t endpointCount() const { return endpoints_.size(); }
-  // The destination of that number; it is added where it is not known.
+  // Returns the destination with that id, adding it if it is not known.
   Destination& destination(std::int64_t id);
-  // Forgets, in all tables, the endpoints for which `gone` is true; none of them may have a call in flight.
-  void forgetEndpoints(RequestTable& requests, LatencyTable& latency,
-                       const std::function<bool(const Endpoint&)>& gone);
-  // Forgets the destinations with neither endpoints nor requests, whose Retry-After is over.
-  void forgetDestinations(double nowMs);
+  // Removes the endpoints for which `isUnused` returns true from all tables. None of them may have a call in
+  // flight.
+  void removeEndpoints(RequestTable& requests, LatencyTable& latency,
+                       const std::function<bool(const Endpoint&)>& isUnused);
+  // Removes the destinations without endpoints and requests whose Retry-After is over.
+  void removeUnusedDestinations(double nowMs);
 
  private:
   std::map<std::string, Endpoint> endpoints_;
--- a/src/state/latency_table.h
+++ b/src/state/latency_table.h
@@ -1,4 +1,7 @@
-// The latencies of all endpoints. Invariant: the sum and the count are those of the known ones.
+// Mean of the typical latencies of all endpoints.
+// Cost: constant.
+// Thread safety: none.
+// Invariant: the sum and the count cover exactly the endpoints whose latency is known.
 #pragma once
 
 #include "state/endpoint.h"
@@ -7,7 +10,9 @@
 
 class LatencyTable {
  public:
-  double meanMs() const { return meanMs_; }  // 0: none is known
+  // The mean in ms as of the last `set`, 0 before the first.
+  double meanMs() const { return meanMs_; }
+  // Sets the typical latency of the endpoint, in ms and above 0.
   void set(Endpoint& endpoint, double typicalMs) {
     if (endpoint.typicalLatencyMs <= 0) ++known_;
     sumMs_ -= endpoint.typicalLatencyMs;
@@ -15,7 +20,8 @@
     sumMs_ += endpoint.typicalLatencyMs;
     meanMs_ = sumMs_ / known_;
   }
-  void forget(const Endpoint& endpoint) {
+  // Removes an endpoint that is about to be deleted.
+  void remove(const Endpoint& endpoint) {
     if (endpoint.typicalLatencyMs > 0) --known_;
     sumMs_ -= endpoint.typicalLatencyMs;
   }
--- a/src/state/request_table.cpp
+++ b/src/state/request_table.cpp
@@ -53,13 +53,13 @@
   if (request.call < 0) erase(request);
 }
 
-void RequestTable::forgetEndpoint(const Endpoint& endpoint) {
+void RequestTable::removeTriedEndpoint(const Endpoint& endpoint) {
   for (auto& [id, request] : requests_) std::erase(request.tried, &endpoint);
 }
 
-void RequestTable::forgetOrderedQueues(double nowMs) {
-  std::erase_if(orderedQueues_, [nowMs](const auto& named) {
-    return named.second.sequence.empty() && named.second.pausedUntilMs <= nowMs;
+void RequestTable::removeUnusedOrderedQueues(double nowMs) {
+  std::erase_if(orderedQueues_, [nowMs](const auto& entry) {
+    return entry.second.sequence.empty() && entry.second.pausedUntilMs <= nowMs;
   });
 }
 
--- a/src/state/request_table.h
+++ b/src/state/request_table.h
@@ -1,5 +1,5 @@
-// All requests: by id, by the time until which they may be sent, by destination, and by ordering key.
-// Cost: logarithmic in the requests; forgetting goes through all requests or all ordering keys.
+// Table of all requests: by id, by the time until which they may be sent, by destination and by ordering key.
+// Cost: logarithmic in the requests; removals of endpoints or ordering keys scan all requests or all keys.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 
 namespace myrtleloft::policy {
 
-// By when a request must be sent, then in the order accepted.
+// Sort key: the time until which a request may be sent, then the order of acceptance.
 struct DueKey {
   double sendByMs;
   std::uint64_t sequence;
@@ -19,34 +19,35 @@
   auto operator<=>(const DueKey&) const = default;
 };
 
-// Invariants: a request waits (is in the queue of its destination and in due()) or has a call in flight; one
-// that is completed stays until its call has ended. `sendByMs` of a request changes only while it does not
-// wait.
+// Invariants: a request either waits (it is in the queue of its destination and in due()) or has a call in
+// flight; a completed request stays in the table until its call has ended; Request::sendByMs changes only
+// while the request does not wait.
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class RequestTable {
  public:
-  // Null where one of that id is in the table. The request has no destination and does not wait yet.
+  // Adds a request without a destination, which does not wait yet. Returns nullptr if its id is known.
   Request* add(const RequestEvent& event, const ClassSettings& settings, double nowMs);
-  // The request of that id; null: none.
+  // Returns the request with that id, nullptr if there is none.
   Request* find(const std::string& id);
-  // Sets where the request goes; once for each request, before it is enqueued.
+  // Sets the destination of the request; called once, before the request is enqueued.
   void setDestination(Request& request, Destination& destination);
-  // From now on the request waits to be sent.
+  // Makes the request wait to be sent.
   void enqueue(Request& request);
-  // The request no longer waits: it goes into a call, or ends.
+  // Removes the request from the waiting ones, because it is sent or completed.
   void dequeue(Request& request);
-  // The request has its final status; it is erased once no call of it is in flight.
+  // Marks the request as having its final status. It is erased at once if it has no call in flight; otherwise
+  // the outcome of that call must be followed by another call of this function.
   void complete(Request& request);
-  // Removes the endpoint from what the requests have tried.
-  void forgetEndpoint(const Endpoint& endpoint);
-  // Removes the ordering keys that have no request and are not paused.
-  void forgetOrderedQueues(double nowMs);
+  // Removes the endpoint from Request::tried of all requests.
+  void removeTriedEndpoint(const Endpoint& endpoint);
+  // Removes the ordering keys that have no requests and are not paused.
+  void removeUnusedOrderedQueues(double nowMs);
 
-  // The requests that wait, by when they must be sent.
+  // The waiting requests, by the time until which they may be sent.
   const std::map<DueKey, Request*>& due() const { return due_; }
-  // The destinations for which requests wait, by their number.
+  // The destinations with waiting requests, by id.
   const std::map<std::int64_t, Destination*>& waiting() const { return waiting_; }
-  // How many requests have no final status, those in flight included.
+  // Number of requests without a final status, including those in flight.
   int pendingCount() const { return pending_; }
 
  private:
@@ -56,7 +57,7 @@
   std::map<std::string, OrderedQueue> orderedQueues_;
   std::map<std::int64_t, Destination*> waiting_;
   std::map<DueKey, Request*> due_;
-  int pending_ = 0;  // not completed
+  int pending_ = 0;  // number of requests not completed
   std::uint64_t lastSequence_ = 0;
 };
 
--- a/src/state/traffic.h
+++ b/src/state/traffic.h
@@ -1,4 +1,4 @@
-// What goes to one destination.
+// The requests for one destination, and the endpoints that may serve them. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,10 @@
 
 struct DestinationTraffic {
   std::vector<Endpoint*> endpoints;
-  std::map<std::uint64_t, Request*> queue;  // requests that wait, in the order accepted
+  std::map<std::uint64_t, Request*> queue;  // waiting requests by sequence number, in the order accepted
   DecayedRate arrivals;
-  double brokenIdleMs = kNever;  // idle age of a connection on which a call broke, till the next outcome
+  // Shortest idle age, in ms, of the connections that broke since the last other outcome; kNever if none did.
+  double brokenIdleMs = kNever;
 };
 
 }  // namespace myrtleloft::policy
