--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// The smallest relay: one destination with one endpoint, one request, one decision.
+// Minimal use of the decision module: one destination with one endpoint, one request, one batch.
 #include <iostream>
 
 #include "myrtleloft/dispatcher.h"
--- a/include/myrtleloft/dispatcher.h
+++ b/include/myrtleloft/dispatcher.h
@@ -1,14 +1,14 @@
-// The decisions of one relay: which request is sent to which endpoint, and when, and which is ended without a
-// delivery. The caller does all input and output. It hands over what happened since the last batch (events)
-// and carries out what comes back (actions). examples/embed.cpp is a complete program.
+// The decisions of one relay: which request is sent to which endpoint and when, and which request is ended
+// without a delivery. The caller does all I/O: it passes in what happened since the last batch (events) and
+// carries out the decisions that are returned (actions). examples/embed.cpp is a complete program.
 //
 //   Dispatcher dispatcher(settings);
 //   for (const Action& action : dispatcher.onBatch(nowMs, events)) carryOut(action);
 //
 // Times are milliseconds on the caller's monotonic clock; durations are milliseconds. The module has no
-// clock, no thread and no I/O: the settings, their seed and the events determine all actions. A Dispatcher is
-// not thread-safe; several share nothing. A batch costs time in proportion to its events
-// and to the requests that wait.
+// clock, threads or I/O: the settings, including the seed, and the events determine all actions. A Dispatcher
+// is not thread-safe; separate instances share no state. The cost of a batch is proportional to its events
+// and to the waiting requests.
 #pragma once
 
 #include <cstdint>
@@ -25,22 +25,22 @@
 // Whether a request may be executed again after an attempt that may have been executed.
 enum class Idempotency {
   kIdempotent,
-  kIdempotentWithKey,  // where the endpoint remembers its key: see DeduplicationScope and idempotencyWindowMs
+  kIdempotentWithKey,  // only within its DeduplicationScope and idempotencyWindowMs
   kNonIdempotent
 };
 
-// Which endpoints share the memory of idempotency keys: all of the destination, those of a zone, or those of
-// a cell. A cell is a destination of its own here.
+// Which endpoints recognize an idempotency key that one of them has seen: all endpoints of the destination,
+// of the zone, or of the cell. Each cell is a destination of its own.
 enum class DeduplicationScope { kDestination, kZone, kCell };
 
-// How the weight of a request falls from its latency objective on: to lateWeight at the deadline, or by half
-// with each further objective, to lateWeight at least.
+// How the weight of a request decays after its latency objective: linearly to lateWeight at the deadline, or
+// by half with each further span of the objective, but not below lateWeight.
 enum class WeightDecay { kLinear, kHalving };
 
-// What EndpointInfo::rating says: nothing, the capacity, or the capacity roughly (up to half too high).
+// Meaning of EndpointInfo::rating: none, the capacity, or an estimate of the capacity (up to half too high).
 enum class RatingKind { kNone, kNominal, kRough };
 
-// Only a running endpoint is sent new requests; calls in flight to the others end as they may.
+// Only running endpoints get new requests; calls in flight to other endpoints are not cancelled.
 enum class EndpointState { kRunning, kDraining, kRemoved };
 
 // How an attempt ended. Known not executed: kRejected, kConnectFailed and kNotSent; all others may have been
@@ -48,128 +48,126 @@
 enum class Outcome {
   kSuccess,
   kFailure,        // answered with an error
-  kRejected,       // answered that the endpoint takes nothing more now
+  kRejected,       // answered that the endpoint has no capacity now
   kTimeout,        // not answered within SendAction::timeoutMs
-  kConnectFailed,  // no connection
-  kReset,          // the connection broke before an answer
+  kConnectFailed,  // no connection could be opened
+  kReset,          // the connection was closed before an answer
   kCancelled,      // by a CancelAction
-  kNotSent         // given up by the caller before anything was sent; nothing is learned from it
+  kNotSent         // dropped by the caller before anything was sent; does not affect any statistics
 };
 
-// A change of the endpoint list, all of it, all of it from a cache after a restart, or a poll that failed.
+// A change of the endpoint list, the complete list, the cached list after a restart, or a failed poll.
 enum class ListUpdateKind { kDelta, kSnapshot, kCached, kError };
 
-// What the requests of a class have in common.
+// Settings of a class of requests.
 struct ClassSettings {
-  double latencyObjectiveMs = 0;  // full weight when delivered within it; under 1 counts as 1
-  double maxLifetimeMs =
-      0;  // from arrival to RequestEvent::deadlineMs; 0: a request arrives when it is handed over
+  double latencyObjectiveMs = 0;  // full weight when delivered within it; below 1 counts as 1
+  // Time from arrival to RequestEvent::deadlineMs. With 0, a request arrives in the batch of its event.
+  double maxLifetimeMs = 0;
   double objectiveStretch = 0;     // the objective grows by this multiple of RequestEvent::effortMs
-  double priorityWeight = 1;       // what a delivery within the objective counts, 0 or more
-  double lateWeight = 0;           // the share of it that is left at the deadline, 0 to 1
-  double idempotencyWindowMs = 0;  // kIdempotentWithKey: how long an endpoint remembers the key
+  double priorityWeight = 1;       // weight of a delivery within the objective, 0 or more
+  double lateWeight = 0;           // share of that weight that remains at the deadline, 0 to 1
+  double idempotencyWindowMs = 0;  // for kIdempotentWithKey: how long an endpoint remembers the key
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DeduplicationScope deduplicationScope = DeduplicationScope::kDestination;
-  bool orderedByKey = false;      // requests of one order key are first sent one after the other, as accepted
-  std::vector<int> allowedZones;  // empty: all
-  std::vector<int> allowedKinds;  // empty: all
+  bool orderedByKey = false;      // first attempts of requests with the same order key keep their order
+  std::vector<int> allowedZones;  // empty for all
+  std::vector<int> allowedKinds;  // empty for all
 };
 
-// Everything is optional: 0 or less, or an empty list, means that it is not known, and a default or no limit
-// applies.
+// All settings are optional: for 0 or less, or an empty list, a default or no limit applies.
 struct Settings {
-  std::uint64_t seed = 0;              // of all draws; relays of one fleet must have different ones
-  int instanceIndex = 0;               // of this relay, 0 to instanceCount - 1
-  int instanceCount = 1;               // relays that share the endpoints
-  int zone = -1;                       // of this relay; -1: not known
-  double batchIntervalMs = 0;          // the least time between two batches
-  std::vector<ClassSettings> classes;  // by RequestEvent::classIndex; another index has the defaults
+  std::uint64_t seed = 0;              // of the random numbers; must differ between the relays of a fleet
+  int instanceIndex = 0;               // index of this relay, 0 to instanceCount - 1
+  int instanceCount = 1;               // number of relays that share the endpoints
+  int zone = -1;                       // zone of this relay; -1 if not known
+  double batchIntervalMs = 0;          // minimum time between two batches
+  std::vector<ClassSettings> classes;  // by RequestEvent::classIndex; the defaults apply to other indexes
   bool watchEndpointList = false;      // whether the caller polls discovery on a WatchEndpointListAction
   WeightDecay weightDecay = WeightDecay::kLinear;
   RatingKind ratingKind = RatingKind::kNone;
-  int maxConcurrentCalls = 0;   // calls in flight; 0: no limit
-  int maxPendingRequests = 0;   // requests not completed; above nine tenths of it load is shed; 0: no limit
-  int maxAttempts = 0;          // of one request, all included; 0: no limit
-  double maxRetryAfterMs = 0;   // the longest RejectAction::retryAfterMs; 0: no advice is given
-  double connectTimeoutMs = 0;  // the longest that a call waits for its connection
-  double connectionIdleMs = 0;  // idle connections older than this are closed; 0: at no age
-  // Whether the caller keeps connections for further calls; false: each call opens one, and none is idle.
+  int maxConcurrentCalls = 0;   // calls in flight; 0 for no limit
+  int maxPendingRequests = 0;   // requests not completed; load is shed above 90% of it; 0 for no limit
+  int maxAttempts = 0;          // attempts of one request, of all outcomes; 0 for no limit
+  double maxRetryAfterMs = 0;   // upper bound of RejectAction::retryAfterMs; 0 to give no Retry-After
+  double connectTimeoutMs = 0;  // longest time that a call waits for its connection
+  double connectionIdleMs = 0;  // maximum idle age of a connection that is reused; 0 for no limit
+  // Whether the caller keeps connections open for further calls. If not, each call opens a new one.
   bool reusesConnections = true;
   bool mayCancel = false;  // whether the caller carries out a CancelAction
-  std::vector<bool>
-      kindHasSeparateLimits;  // by kind: each endpoint has a limit of its own, or all of a destination one
-  std::vector<int> kindBatchSize;  // by kind: requests in one call at most; 1 at least
-  std::vector<double>
-      zoneCosts;                // by zone: the cost of a request sent to an endpoint with its own limit there
-  double crossZoneCost = 0;     // the further cost of a request sent to another zone than the relay's
-  double listRetryMs = 0;       // after a kError the next poll comes within half of it
-  double slowStartShare = 0;    // the share of its capacity that a returned endpoint takes at first, 0 to 1
-  double slowStartMs = 0;       // how long it is warming up
-  double overloadFactor = 0;    // it fails when sent more than this multiple of what it takes then ...
-  double overloadWindowMs = 0;  // ... within this span
-  double orderHoldAfterAmbiguityMs = 0;  // the pause of an order key after an attempt of unknown outcome
+  // By kind: whether each endpoint has a limit of its own, or all endpoints of a destination share one.
+  std::vector<bool> kindHasSeparateLimits;
+  std::vector<int> kindBatchSize;  // by kind: maximum number of requests in one call, at least 1
+  std::vector<double> zoneCosts;   // by zone: cost of a request to an endpoint with its own limit
+  double crossZoneCost = 0;        // additional cost of a request to another zone than the relay's
+  double listRetryMs = 0;          // after a kError the next poll follows within half of it
+  double slowStartShare = 0;       // share of its capacity that a recovered endpoint has at first, 0 to 1
+  double slowStartMs = 0;          // time until it has its full capacity
+  double overloadFactor = 0;       // an endpoint fails if sent more than this multiple of its capacity ...
+  double overloadWindowMs = 0;     // ... within this window
+  double orderHoldAfterAmbiguityMs = 0;  // pause of an order key after an attempt of unknown outcome
 };
 
 // ---- events ----
 
 // An attempt that may have been executed, made before this relay's process began.
 struct AmbiguousAttempt {
-  int zone = 0;       // of its endpoint
-  double sentMs = 0;  // on the clock of the batches; may be before the first of them
+  int zone = 0;       // zone of its endpoint
+  double sentMs = 0;  // on the clock of the batches; may be before the first batch
 };
 
-// A request was accepted. One whose id is known already is ignored.
+// A request was accepted. Ignored if its id is already known.
 struct RequestEvent {
   std::string id;         // unique among the requests that are not completed
   int classIndex = 0;     // into Settings::classes
   int tenant = 0;         // not used by the decisions
-  std::string orderKey;   // empty: none
-  double deadlineMs = 0;  // when it must be completed; one that has passed is answered in this batch
-  double effortMs = 0;    // how long the endpoint works on it
+  std::string orderKey;   // empty if none
+  double deadlineMs = 0;  // time by which it must be completed; if already past, it is answered in this batch
+  double effortMs = 0;    // expected processing time at the endpoint
   std::int64_t destination = 0;
-  bool isRetry = false;  // its client was rejected before
-  int attempts = 0;      // made before this process began, those known not executed included
-  std::vector<AmbiguousAttempt> ambiguousAttempts;  // those of them that may have been executed
+  bool isRetry = false;  // whether the client was rejected before and sends it again
+  int attempts = 0;      // attempts before this process began, including those known not executed
+  std::vector<AmbiguousAttempt> ambiguousAttempts;  // those attempts that may have been executed
 };
 
-// What an upstream stated of its limit, where it states one.
+// The limit that an upstream reported for itself, if any.
 struct LoadReport {
   std::optional<double> limitPerSecond;
 };
 
-// An attempt ended. One that is not the newest of a known request is ignored.
+// An attempt ended. Ignored unless it is the newest attempt of a known request.
 struct OutcomeEvent {
   std::string id;
-  int attempt = 0;  // counted from 0 since it was first accepted, as the caller counts its SendActions
+  int attempt = 0;  // index from 0 among all attempts of the request since it was first accepted
   std::string endpoint;
   Outcome outcome = Outcome::kSuccess;
-  bool completed = false;         // the caller has completed the request: no answer follows
-  std::int64_t retryAfterMs = 0;  // stated by the upstream: nothing is sent there until then; 0: none
+  bool completed = false;         // whether the caller has completed the request; no action follows for it
+  std::int64_t retryAfterMs = 0;  // Retry-After: no call to the upstream starts before it ends; 0 if none
   LoadReport report;
 };
 
 // One entry of the endpoint list.
 struct EndpointInfo {
-  std::string endpoint;  // its id; with an id its kind and destination never change
+  std::string endpoint;  // id; the kind and destination of an id never change
   int zone = 0;
-  int kind = 0;  // into the settings by kind
+  int kind = 0;  // index into the settings by kind
   std::int64_t destination = 0;
   EndpointState state = EndpointState::kRunning;
-  double rating = 1;  // requests a second, if RatingKind says so
+  double rating = 1;  // requests per second, unless RatingKind::kNone applies
 };
 
-// The endpoint list changed. kSnapshot and kCached are complete: what they do not name is removed.
+// The endpoint list changed, or a poll failed. A kSnapshot or kCached list removes endpoints missing from it.
 struct EndpointListEvent {
   ListUpdateKind kind = ListUpdateKind::kDelta;
   std::vector<EndpointInfo> entries;
 };
 
-// The timer of a TimerAction has expired; only the newest token counts.
+// The timer of a TimerAction has expired. Ignored unless it has the newest token.
 struct TimerEvent {
   std::uint64_t token = 0;
 };
 
-// The client of a request has gone: it gets no answer and no further attempt.
+// The client of a request has disconnected: the request gets no answer and no further attempt.
 struct ClientDisconnectEvent {
   std::string id;
 };
@@ -178,38 +176,38 @@
 
 // ---- actions ----
 
-// Make an attempt, and report its end by one OutcomeEvent. Attempts of one batch to one endpoint fill calls
-// of Settings::kindBatchSize, in the order of the actions.
+// Start an attempt and report its end by one OutcomeEvent. The attempts of one batch to the same endpoint
+// share calls of up to Settings::kindBatchSize requests, filled in the order of the actions.
 struct SendAction {
   std::string id;
   std::string endpoint;
   double timeoutMs = 0;  // 1 or more
 };
 
-// Answer that the request was not executed, or may safely be sent again; it is completed.
+// Answer that the request was not executed or may safely be sent again. The request is completed.
 struct RejectAction {
   std::string id;
-  double retryAfterMs = 0;  // when the client should come back; 0: no advice
+  double retryAfterMs = 0;  // Retry-After for the client; 0 for none
 };
 
-// Answer that the request failed and may have been executed; it is completed.
+// Answer that the request failed and may have been executed. The request is completed.
 struct FailAction {
   std::string id;
 };
 
-// Stop the attempt if it can be stopped; its OutcomeEvent still follows.
+// Stop the attempt if possible. Its OutcomeEvent must still follow.
 struct CancelAction {
   std::string id;
   int attempt = 0;
 };
 
-// Run a batch with a TimerEvent of this token after the delay. A newer timer replaces it.
+// Run a batch with a TimerEvent of this token after the delay. Replaces an earlier timer.
 struct TimerAction {
   double delayMs = 0;  // 1 or more
   std::uint64_t token = 0;
 };
 
-// Poll discovery, and go on with long polls until one fails.
+// Poll discovery, and continue with long polls until one fails.
 struct WatchEndpointListAction {
   bool active = true;
 };
@@ -222,7 +220,7 @@
 using Action = std::variant<SendAction, RejectAction, FailAction, CancelAction, TimerAction,
                             WatchEndpointListAction, CloseIdleConnectionsAction>;
 
-// One relay's decisions. Moved-from objects may only be assigned to or destroyed.
+// The decision module of one relay. A moved-from object may only be assigned to or destroyed.
 class Dispatcher {
  public:
   explicit Dispatcher(const Settings& settings);
@@ -230,12 +228,12 @@
   Dispatcher(Dispatcher&&) noexcept;
   Dispatcher& operator=(Dispatcher&&) noexcept;
 
-  // Takes in all events of one moment, in their order, then decides once. `nowMs` must not run backwards.
-  // Events that make no sense (unknown ids, kinds, zones or classes) are ignored or get the defaults; it
-  // throws only where memory ends.
+  // Handles all events of the batch in order, then decides and returns the actions. `nowMs` must not
+  // decrease. Invalid events (unknown ids, kinds, zones or classes) are ignored or handled with defaults.
+  // Throws only std::bad_alloc.
   std::vector<Action> onBatch(double nowMs, const std::vector<Event>& events);
 
-  // How many endpoints it remembers, those that left the list of late included.
+  // Number of known endpoints, including those that have recently left the list.
   std::size_t endpointCount() const;
 
  private:
--- a/include/myrtleloft/relay.h
+++ b/include/myrtleloft/relay.h
@@ -1,10 +1,11 @@
-// The relay as a library: configured from the deployment's environment, run on the calling thread.
+// The relay as a library: it is configured from environment variables and runs on the calling thread.
 //
 //   myrtleloft::Relay relay(myrtleloft::environmentOf(environ), std::clog);
 //   return relay.run();
 //
-// All calls come from one thread; `run` blocks it until the relay has stopped. A process has one relay at a
-// time: it blocks the signals named at `run` for the process and ignores SIGPIPE.
+// Not thread-safe: make all calls from one thread. `run` blocks until the relay has stopped. A process may
+// have one relay at a time, as it blocks the signals listed at Relay::run for the process and ignores
+// SIGPIPE.
 #pragma once
 
 #include <cstddef>
@@ -25,29 +26,29 @@
 class LiveConfig;
 class RelayProcess;
 
-// Replacements of the operating system's services, for tests and other stores; each must outlive the relay.
+// Replacements for operating system services, for tests and other storage; each must outlive the relay.
 struct RelayDependencies {
-  Files* files = nullptr;        // the file layer beneath the journal (journal/files.h); none: the system's
-  const Clock* clock = nullptr;  // net/clock.h; none: the system's
+  Files* files = nullptr;        // file access of the journal (journal/files.h); nullptr for the system's
+  const Clock* clock = nullptr;  // net/clock.h; nullptr for the system's
 };
 
-// Of a list as in environ(7), "NAME=VALUE" and a null at its end.
+// Converts a null-terminated list of "NAME=VALUE" entries as in environ(7).
 Environment environmentOf(const char* const* entries);
 
-// Blocks the signals named at Relay::run, as it does itself. A program that calls this first thing keeps
-// those that come before the relay has read its configuration: it handles them once it runs. false: errno
-// says why.
+// Blocks the signals listed at Relay::run, as the relay itself does. A program that calls this first does not
+// lose signals that arrive before the relay has read its configuration: they stay pending until it runs.
+// Returns false, with errno set, on failure.
 bool blockRelaySignals();
 
-// Where the configuration is faulty, as far as it is known.
+// Location of an error in the configuration, as far as it is known.
 struct ConfigLocation {
-  std::string file;  // of the operator's file, as it was named; empty: the JSON configuration
-  std::string key;   // "settings.classes[2].repeat", or a variable of the environment; empty: no single key
-  std::size_t line = 0;    // from 1; 0: not known
-  std::size_t column = 0;  // from 1, in bytes; 0: not known
+  std::string file;      // path of the operator's file as given; empty for the JSON configuration
+  std::string key;       // "settings.classes[2].repeat" or an environment variable; empty if not a single key
+  std::size_t line = 0;  // from 1; 0 if not known
+  std::size_t column = 0;  // in bytes from 1; 0 if not known
 };
 
-// A fault in the configuration. The text names the key and, where it stands in a file, line and column.
+// An error in the configuration. The message names the key and, for a file, its line and column.
 class ConfigError : public std::runtime_error {
  public:
   explicit ConfigError(const std::string& text, ConfigLocation location = {})
@@ -61,43 +62,44 @@
 class Relay {
  public:
   enum class Phase {
-    kStarting,    // takes its signals and its address; also between two attempts to start
+    kStarting,    // blocks signals and binds its address; also between two attempts to start
     kRecovering,  // reads the journal and the endpoint list
-    kServing,     // accepts requests, as long as they can be recorded
-    kDraining,    // accepts nothing new, completes what is in flight
+    kServing,     // accepts requests while they can be recorded in the journal
+    kDraining,    // accepts no new requests, completes the accepted ones
     kStopped      // `run` returns
   };
 
-  // Reads the configuration. `log` must outlive the relay. Throws ConfigError.
+  // Reads the configuration. `log` must outlive the relay. Throws ConfigError on an error in it.
   Relay(const Environment& environment, std::ostream& log, const RelayDependencies& dependencies = {});
   ~Relay();
 
-  // Starts, and serves until it is stopped. Returns the exit code: 0 after a graceful shutdown, 1 if it
-  // cannot start.
+  // Starts the relay and serves until it is stopped. Returns the exit code: 0 after a graceful shutdown, 1 if
+  // the relay cannot start.
   //
-  // A start that fails is retried ten times a second: for up to a minute where the cause may pass (no
-  // descriptor, no port, a disk that fails or is full), for two seconds where another process has the address
-  // or the folder, and not at all where the cause remains, as with a missing folder. An allocation that fails
-  // while the relay serves does not end it: it starts again from its journal, at the same address. One that
-  // fails before it has served is thrown as std::bad_alloc.
+  // A failed start is retried ten times per second: for up to a minute if the cause may be temporary (no file
+  // descriptor, no port, a failing or full disk), for two seconds if another process uses the address or the
+  // folder, and not at all if the cause is permanent, such as a missing folder. If a memory allocation fails
+  // while the relay serves, it restarts from its journal at the same address; if one fails before it has
+  // served, std::bad_alloc is thrown.
   //
-  // Signals: SIGTERM and SIGINT drain, SIGHUP reads the configuration again, SIGUSR1 prints the counters.
+  // Signals: SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration, SIGUSR1 prints
+  // the counters.
   int run();
-  // Begins the graceful shutdown: accepts nothing new, completes what is in flight, then stops. Nothing
-  // happens while the relay does not serve.
+  // Starts a graceful shutdown: the relay accepts no new requests, completes the accepted ones, then stops.
+  // Has no effect unless the relay serves.
   void drain();
   Phase phase() const;
   // Writes the counters to the log.
   void printCounters() const;
 
  private:
-  // The exit code, if the relay does not come to serving.
+  // Returns the exit code if the relay cannot start, std::nullopt once it is ready to serve.
   std::optional<int> start();
 
   std::ostream& log_;
   RelayDependencies dependencies_;
   std::unique_ptr<LiveConfig> config_;
-  std::unique_ptr<RelayProcess> process_;  // none between two starts
+  std::unique_ptr<RelayProcess> process_;  // nullptr between two attempts to start
 };
 
 }  // namespace myrtleloft
--- a/include/myrtleloft/standard_error.h
+++ b/include/myrtleloft/standard_error.h
@@ -1,4 +1,4 @@
-// Standard error for a program that must not wait for its reader.
+// A standard error stream that never blocks on a slow reader.
 //
 //   StandardError err;
 //   runCommandLine(argc, argv, environment, std::cout, err);
@@ -13,16 +13,17 @@
 
 namespace myrtleloft {
 
-// A stream that writes its text at each flush, if the descriptor accepts it at once. What the descriptor does
-// not accept, because its reader is stalled or gone, is dropped; the next text that is written says how many
-// were dropped before it. Buffers what came since the last flush. One thread; one write(2) for each flush.
+// Output stream that buffers text until it is flushed, and writes it at each flush if the descriptor accepts
+// it without blocking. Text that is not accepted, because the reader is stalled or has closed its end, is
+// dropped; the next text written reports how many were dropped before it. Not thread-safe; one write(2) for
+// each flush.
 class StandardError : public std::ostream {
  public:
-  // Does not own `fd`. SIGPIPE must be ignored, as the relay does: otherwise the end of a pipe's reader ends
-  // the process.
+  // Does not take ownership of `fd`. SIGPIPE must be ignored, as the relay does; otherwise it ends the
+  // process when the reader of a pipe closes its end.
   explicit StandardError(int fd = STDERR_FILENO) : std::ostream(nullptr), buffer_(fd) {
     rdbuf(&buffer_);
-    setf(std::ios::unitbuf);  // as std::cerr: flushes after each output operation
+    setf(std::ios::unitbuf);  // flush after each output operation, as std::cerr does
   }
 
  private:
@@ -36,6 +37,7 @@
     int sync() override;
 
    private:
+    // Returns whether all of the text was written.
     bool put(const std::string& text);
 
     int fd_;
