--- a/simulator_adapter/adapter.cpp
+++ b/simulator_adapter/adapter.cpp
@@ -10,7 +10,7 @@
 namespace myrtleloft::wire {
 namespace {
 
-// Without its end, which may be that of DOS. None: the input has ended.
+// Returns the next line without its line break, LF or CRLF. Returns std::nullopt at the end of the input.
 std::optional<std::string> nextLine(std::istream& input) {
   std::string line;
   if (!std::getline(input, line)) return std::nullopt;
@@ -18,6 +18,7 @@
   return line;
 }
 
+// The message name at the start of the line.
 std::string_view nameOf(std::string_view line) { return line.substr(0, line.find('\t')); }
 
 Fields fieldsOf(std::string_view line) {
@@ -62,7 +63,8 @@
 void Adapter::readSheet(const Fields& fields, std::istream& input) {
   const std::int64_t number = fields.integer("ref");
   const std::int64_t rows = fields.integer("rows");
-  if (!EndpointSheets::isNumber(number) || rows < 0) throw WireError("SHEET out of range");
+  if (!EndpointSheets::isNumber(number) || rows < 0)
+    throw WireError("SHEET with its number or row count out of range");
   std::vector<EndpointInfo> endpoints;
   for (std::int64_t i = 0; i < rows; ++i) {
     const std::optional<std::string> line = nextLine(input);
--- a/simulator_adapter/adapter.h
+++ b/simulator_adapter/adapter.h
@@ -1,12 +1,12 @@
-// Plays the decision module on the simulator's wire: batches of lines in, actions out. Decides nothing
-// itself.
+// Connects the decision module to the simulator: reads batches of events and replies with the actions of
+// each. Takes no decisions itself.
 //
 //   Adapter adapter;
 //   adapter.run(std::cin, std::cout);
 //
-// The wire: a batch is a line BATCH with its time, lines of events, and a line EOF_BATCH; the reply is a line
-// for each action, and a line OK. A line is a name and name=value fields, all separated by tabs; empty lines
-// are ignored. One thread.
+// Wire format: a batch is a line BATCH with its time, the lines of its events, and a line EOF_BATCH. The
+// reply is one line for each action, and a line OK. A line is a message name followed by name=value fields,
+// separated by tabs. Empty lines are ignored. Not thread-safe.
 #pragma once
 
 #include <istream>
@@ -22,14 +22,15 @@
 
 class Adapter {
  public:
-  // Answers each batch before it reads the next, until the input ends. Throws WireError on malformed input,
-  // after which nothing more can be read.
+  // Replies to each batch before reading the next, until the input ends. Throws WireError on malformed input;
+  // the adapter cannot be used after that.
   void run(std::istream& input, std::ostream& output);
 
  private:
-  // The batch's time in ms; none: the input has ended.
+  // Reads one batch and returns its time in ms. Returns std::nullopt at the end of the input.
   std::optional<double> readBatch(std::istream& input);
   void readLine(std::string_view name, const Fields& fields, std::istream& input);
+  // Reads the endpoint list that follows a SHEET line.
   void readSheet(const Fields& fields, std::istream& input);
   void reply(double nowMs, std::ostream& output);
 
--- a/simulator_adapter/event_reader.cpp
+++ b/simulator_adapter/event_reader.cpp
@@ -106,7 +106,8 @@
   return endpoint;
 }
 
-// Whether the instance or the event's own fields are read first decides which of two faults is reported.
+// For an event with two errors, the order of reading the instance and the event's own fields decides which is
+// reported.
 void readEvent(std::string_view name, const Fields& fields, const EndpointSheets& sheets,
                InstanceTable& instances) {
   if (name == "QUERY") {
@@ -125,7 +126,7 @@
     Instance& instance = instances.select(fields);
     instance.events.emplace_back(ClientDisconnectEvent{std::string(fields.text(kRequestId))});
   } else if (name == "STREAMING" || name == "NOTE_FROM" || name == "PROBE_RESULT") {
-    instances.select(fields);  // the decisions have neither streams nor health checks nor peers
+    instances.select(fields);  // the decision module does not use streams, health checks or peers
   } else {
     throw WireError("unknown event " + quoted(name));
   }
--- a/simulator_adapter/event_reader.h
+++ b/simulator_adapter/event_reader.h
@@ -1,8 +1,8 @@
-// Reads lines of the simulator's wire as events of the decision module.
+// Converts lines of the simulator's wire format to events of the decision module.
 //
-//   readEvent("HANGUP", Fields("forwarderId=f0\tcorr=ae5a"), sheets, instances);   // f0 has one event more
+//   readEvent("HANGUP", Fields("forwarderId=f0\tcorr=ae5a"), sheets, instances);   // adds an event to f0
 //
-// One thread; O(line).
+// Not thread-safe. Cost: linear in the line.
 #pragma once
 
 #include <array>
@@ -19,7 +19,8 @@
 
 namespace myrtleloft::wire {
 
-// The endpoint lists that the simulator has sent, by its number for them; a number may be used again.
+// The endpoint lists (SHEET) that the simulator has sent, by the number it gave them. A list that reuses a
+// number replaces the earlier one.
 class EndpointSheets {
  public:
   static constexpr std::size_t kCount = 16;
@@ -30,19 +31,19 @@
   void set(std::int64_t number, std::vector<EndpointInfo> endpoints) {
     sheets_.at(static_cast<std::size_t>(number)) = std::move(endpoints);
   }
-  // nullptr: out of range, or not sent yet.
+  // Returns nullptr if the number is out of range or no list with it has been sent.
   const std::vector<EndpointInfo>* find(std::int64_t number) const;
 
  private:
   std::array<std::optional<std::vector<EndpointInfo>>, kCount> sheets_;
 };
 
-// One row of a sheet, a line TARGET. Throws WireError.
+// Reads one entry of an endpoint list from the fields of a TARGET line. Throws WireError if a field is
+// malformed.
 EndpointInfo readEndpoint(const Fields& fields);
 
-// Adds the event to those of its instance. Lines that the decision module has no use for only mark the
-// instance for a decision. Throws WireError if the line is unknown or malformed, or names an unknown
-// instance.
+// Adds the event to its instance. Events that the decision module does not use only select the instance for a
+// decision. Throws WireError if the event is unknown or malformed, or names an unknown instance.
 void readEvent(std::string_view name, const Fields& fields, const EndpointSheets& sheets,
                InstanceTable& instances);
 
--- a/simulator_adapter/instance_table.cpp
+++ b/simulator_adapter/instance_table.cpp
@@ -31,13 +31,13 @@
 }
 
 void InstanceTable::decide(double nowMs,
-                           const std::function<void(const std::string& id, const Action& action)>& act) {
+                           const std::function<void(const std::string& id, const Action& action)>& onAction) {
   for (auto& [id, instance] : instances_) {
     if (!instance.selected) continue;
     instance.selected = false;
     const auto actions = instance.dispatcher->onBatch(nowMs, instance.events);
     instance.events.clear();
-    for (const Action& action : actions) act(id, action);
+    for (const Action& action : actions) onAction(id, action);
   }
 }
 
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// The decision module on the simulator's wire, on standard input and output. Exit codes: 0 at the end of the
-// input, 2 on malformed input, 3 on an internal error; the reason goes to standard error.
+// Runs the decision module for the simulator, over standard input and output. Exit codes: 0 at the end of the
+// input, 2 on malformed input, 3 on an internal error. The error message goes to standard error.
 #include <exception>
 #include <iostream>
 
--- a/simulator_adapter/settings_decoding.cpp
+++ b/simulator_adapter/settings_decoding.cpp
@@ -35,7 +35,7 @@
   settings.batchIntervalMs = fields.numberOr("resolutionMs", 0);
 }
 
-// `prefix`: of the class's fields, as in "classes.0.".
+// `prefix` is the common prefix of the names of the class's fields, such as "classes.0.".
 ClassSettings decodeClass(const Fields& fields, const std::string& prefix) {
   ClassSettings settings;
   settings.latencyObjectiveMs = fields.numberOr(prefix + "targetMs", 0);
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-// The order of the parts is that in which faults are reported.
+// The first malformed field in this order is the one that is reported.
 Settings decodeSettings(const Fields& fields) {
   Settings settings;
   decodeInstance(fields, settings);
--- a/simulator_adapter/settings_decoding.h
+++ b/simulator_adapter/settings_decoding.h
@@ -1,10 +1,11 @@
-// Decodes the settings of the decision module from the simulator's wire. The relay decodes its own settings
-// by the same function (config/settings_section.h), so that both decide by the same settings.
+// Decodes the settings of the decision module from the simulator's wire format. The relay uses the same
+// function for its own configuration (config/settings_section.h), so that both interpret settings in the same
+// way.
 //
 //   const Settings settings =
 //   decodeSettings(Fields("randomSeed=7\tclasses.count=1\tclasses.0.hardLimitMs=20000"));
 //
-// No state; safe for several threads; O(fields squared), as each look-up passes over the fields.
+// No state, thread-safe. Cost: quadratic in the number of fields, as each lookup scans all fields.
 #pragma once
 
 #include "myrtleloft/dispatcher.h"
@@ -12,7 +13,7 @@
 
 namespace myrtleloft::wire {
 
-// Missing fields get defaults; an unknown word of a choice counts as its default. Throws WireError at the
+// Missing fields get defaults, and so do fields with an unknown enumeration value. Throws WireError at the
 // first malformed value.
 Settings decodeSettings(const Fields& fields);
 
--- a/simulator_adapter/wire_fields.cpp
+++ b/simulator_adapter/wire_fields.cpp
@@ -6,7 +6,8 @@
 namespace myrtleloft::wire {
 namespace {
 
-// Reads one value; a fault names the field, for whoever must find it in a configuration.
+// Reads one value. An error message starts with the name of the field, so that it can be found in a
+// configuration.
 template <typename Read>
 auto readNamed(std::string_view name, Read read, std::string_view text) {
   try {
@@ -45,7 +46,7 @@
 }
 
 std::string_view Fields::text(std::string_view name) const {
-  if (!has(name)) throw WireError("no value for " + quoted(name));
+  if (!has(name)) throw WireError("missing field " + quoted(name));
   return textOr(name, {});
 }
 
@@ -59,7 +60,7 @@
 std::int64_t Fields::integerOr(std::string_view name, std::int64_t fallback) const {
   return has(name) ? integer(name) : fallback;
 }
-bool Fields::flag(std::string_view name) const { return readNamed(name, truthValue, textOr(name, "0")); }
+bool Fields::flag(std::string_view name) const { return readNamed(name, boolean, textOr(name, "0")); }
 
 std::vector<double> Fields::numberList(std::string_view name) const {
   return readList<double>(name, finiteNumber, textOr(name, ""));
@@ -68,7 +69,7 @@
   return readList<std::int64_t>(name, wire::integer, textOr(name, ""));
 }
 std::vector<bool> Fields::flagList(std::string_view name) const {
-  return readList<bool>(name, truthValue, textOr(name, ""));
+  return readList<bool>(name, boolean, textOr(name, ""));
 }
 
 }  // namespace myrtleloft::wire
--- a/simulator_adapter/wire_fields.h
+++ b/simulator_adapter/wire_fields.h
@@ -1,11 +1,12 @@
-// The name=value fields of one line of the simulator's wire, separated by tabs.
+// The tab-separated name=value fields of one line of the simulator's wire format.
 //
 //   const Fields fields("corr=ae5a\tnotAfterMs=20100.0");
 //   fields.number("notAfterMs")          // 20100
-//   fields.integerOr("destination", 0)   // 0: there is no such field
+//   fields.integerOr("destination", 0)   // 0, as there is no such field
 //
-// Unknown names are ignored. The line must outlive the fields and all views that they return. Immutable, so
-// safe for several threads; each look-up is O(fields).
+// Unknown names are ignored. The line must outlive the fields and all views that they return. Immutable and
+// therefore thread-safe.
+// Cost: each lookup is linear in the fields.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +19,12 @@
 
 class Fields {
  public:
-  // `line`: without the name that it begins with. Throws WireError where a part is not name=value.
+  // `line` is the line without its message name. Throws WireError if a part is not name=value.
   explicit Fields(std::string_view line);
 
-  // The first field of that name counts. Those without a fallback throw WireError if it is missing, and all
-  // but `has` and the texts if the value is malformed; the fault names the field.
+  // If a name occurs several times, the first field counts. `text`, `number` and `integer` throw WireError if
+  // the field is missing. All functions that convert a value throw WireError, naming the field, if it is
+  // malformed.
   bool has(std::string_view name) const;
   std::string_view text(std::string_view name) const;
   std::string_view textOr(std::string_view name, std::string_view fallback) const;
@@ -30,8 +32,8 @@
   double numberOr(std::string_view name, double fallback) const;
   std::int64_t integer(std::string_view name) const;
   std::int64_t integerOr(std::string_view name, std::int64_t fallback) const;
-  bool flag(std::string_view name) const;  // false if it is missing
-  // Lists joined with commas; empty if the field is missing.
+  bool flag(std::string_view name) const;  // false if the field is missing
+  // Comma-separated lists, empty if the field is missing.
   std::vector<double> numberList(std::string_view name) const;
   std::vector<std::int64_t> integerList(std::string_view name) const;
   std::vector<bool> flagList(std::string_view name) const;
--- a/simulator_adapter/wire_names.h
+++ b/simulator_adapter/wire_names.h
@@ -1,4 +1,5 @@
-// Names of the simulator's wire that several parts of the adapter use. The simulator sets them.
+// Field names of the simulator's wire format that several files of the adapter use. The simulator defines
+// them.
 #pragma once
 
 namespace myrtleloft::wire {
--- a/simulator_adapter/wire_values.cpp
+++ b/simulator_adapter/wire_values.cpp
@@ -23,10 +23,10 @@
   return *value;
 }
 
-bool truthValue(std::string_view text) {
+bool boolean(std::string_view text) {
   if (text == "1" || text == "true") return true;
   if (text == "0" || text == "false" || text.empty()) return false;
-  throw WireError("not a truth value: " + quoted(text));
+  throw WireError("not a boolean: " + quoted(text));
 }
 
 std::vector<std::string_view> commaList(std::string_view text) {
--- a/simulator_adapter/wire_values.h
+++ b/simulator_adapter/wire_values.h
@@ -1,11 +1,11 @@
-// Values as the simulator's wire writes them: numbers in decimal, truth values as 0, 1, false, true, lists
-// joined with commas.
+// Parsing of values in the simulator's wire format: decimal numbers, booleans as 0, 1, false or true, and
+// comma-separated lists.
 //
 //   finiteNumber("2.5")        // 2.5
 //   integer("many")            // throws WireError: "not a whole number: 'many'"
 //   commaList("1,0,")          // "1", "0", ""
 //
-// No state; safe for several threads; O(text). Views are valid as long as the text.
+// No state, thread-safe. Cost: linear in the text. The views returned refer to the text that was passed in.
 #pragma once
 
 #include <algorithm>
@@ -21,15 +21,15 @@
 
 namespace myrtleloft::wire {
 
-// Malformed input. The text names the field, where there is one, and quotes what was found.
+// Malformed input. The message names the field, if there is one, and quotes what was found.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// For the text of a fault: the first 80 bytes, in quotes.
+// Quotes the first 80 bytes of the text, for error messages.
 std::string quoted(std::string_view text);
 
-// All of the text as a number of that type; none: it is not one, or out of range.
+// Parses the whole text as a number. Returns std::nullopt if it is not a number or out of range.
 template <typename Number>
 std::optional<Number> parseNumber(std::string_view text) {
   Number value = 0;
@@ -38,12 +38,12 @@
   return value;
 }
 
-// Each throws WireError if the text is no such value.
+// Each parses the whole text, and throws WireError if it is not such a value.
 double finiteNumber(std::string_view text);
 std::int64_t integer(std::string_view text);
-bool truthValue(std::string_view text);  // an empty text is false
+bool boolean(std::string_view text);  // an empty text is false
 
-// Calls `visit` with each part of the text; an empty text is one empty part.
+// Calls `visit` with each part of the text between separators; an empty text has one empty part.
 template <typename Visit>
 void split(std::string_view text, char separator, Visit visit) {
   for (std::size_t at = 0; at <= text.size();) {
@@ -53,7 +53,7 @@
   }
 }
 
-// The items; an empty text has none.
+// Splits a comma-separated list; an empty text has no items.
 std::vector<std::string_view> commaList(std::string_view text);
 
 }  // namespace myrtleloft::wire
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,4 +1,4 @@
-// Framing of the simulator's wire.
+// Tests of the framing and the messages of the simulator's wire format.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -40,7 +40,7 @@
   const std::string again = std::string("RETIRE\tforwarderId=forwarder_0\n") +
                             "UP\tforwarderId=forwarder_0\trandomSeed=8\n" + kQuery;
   const std::string out = play(std::string(kUp) + "BATCH\ttsMs=105.0\n" + again + "EOF_BATCH\n");
-  EXPECT_EQ(out.find("ROUTE"), std::string::npos) << "the fresh instance knows no target: " << out;
+  EXPECT_EQ(out.find("ROUTE"), std::string::npos) << "the new instance knows no endpoint: " << out;
 }
 
 TEST(Wire, ReusedSheetNumberIsResolvedInOrder) {
