--- a/src/counters/counters.cpp
+++ b/src/counters/counters.cpp
@@ -4,12 +4,12 @@
 
 void Counters::print(std::ostream& out) const {
   out << "counters in: connections=" << connectionsIn << " requests=" << requests
-      << " malformed=" << malformed << " taken=" << taken << " fail-fast=" << failFast
+      << " malformed=" << malformed << " taken=" << accepted << " fail-fast=" << failFast
       << " fail-fast-full=" << failFastFull << " fail-fast-unknown=" << failFastUnknown
       << " fail-fast-stale=" << failFastStale << " fail-fast-quota=" << failFastQuota
-      << " hang-ups=" << hangUps << " evicted=" << evicted << " recovered=" << recovered << '\n'
-      << "counters out: connections=" << connectionsOut << " calls=" << calls << " sends=" << sends
-      << " spoilt=" << spoilt;
+      << " hang-ups=" << clientDisconnects << " evicted=" << evicted << " recovered=" << recovered << '\n'
+      << "counters out: connections=" << connectionsOut << " calls=" << calls << " sends=" << requestsSent
+      << " spoilt=" << malformedAnswers;
   for (std::size_t i = 0; i < outcomes.size(); ++i) out << ' ' << kOutcomeNames[i] << '=' << outcomes[i];
   out << " retries=" << retries << " unsolicited=" << unsolicited << '\n';
   static constexpr std::array kGuard = {"after-completion", "after-deadline",     "non-idempotent-repeated",
@@ -25,8 +25,8 @@
   out << "\ncounters closes:";
   for (std::size_t i = 0; i < closes.size(); ++i) out << ' ' << kCloses[i] << '=' << closes[i];
   out << " unanswered=" << closedUnanswered << '\n'
-      << "counters completed: delivered=" << delivered << " expired=" << expired << " dead=" << dead
-      << " bounced=" << bounced << " notices=" << notices << " notice-retries=" << noticeRetries
+      << "counters completed: delivered=" << delivered << " expired=" << expired << " dead=" << failed
+      << " bounced=" << returned << " notices=" << notifications << " notice-retries=" << notificationRetries
       << " decided-before=" << decidedBefore << '\n'
       << "counters rest: batches=" << batches << " lists=" << lists << " list-faults=" << listFaults
       << " lists-rejected=" << listsRejected << " journal-faults=" << journalFaults
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -143,8 +143,8 @@
 void DiscoveryClient::onResult(const ClientConnection* from, ClientConnection::Result result) {
   if (result.unsolicited) {
     ++parts_.counters.unsolicited;
-    parts_.log.repeated(parts_.loop.nowMs(), LogLevel::kWarning, "answer.unsolicited",
-                        "bytes of discovery that answer no poll", {{"peer", "discovery"}});
+    parts_.log.writeRateLimited(parts_.loop.nowMs(), LogLevel::kWarning, "answer.unsolicited",
+                                "bytes of discovery that answer no poll", {{"peer", "discovery"}});
   }
   const bool answered = result.end == ClientConnection::End::kAnswered && result.answer.status == 200;
   if (previousConnection_ && from == previousConnection_.get()) {
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -122,8 +122,8 @@
   const std::string theirs = std::to_string(revision);
   const std::string ours = std::to_string(table_.revision());
   const auto logRepeated = [&](const char* event, const std::string& text) {
-    parts_.log.repeated(parts_.clock.steadyMs(), LogLevel::kWarning, event, "discovery: " + text,
-                        {{"directory", directory}, {"rev", revision}, {"known", table_.revision()}});
+    parts_.log.writeRateLimited(parts_.clock.steadyMs(), LogLevel::kWarning, event, "discovery: " + text,
+                                {{"directory", directory}, {"rev", revision}, {"known", table_.revision()}});
   };
   switch (decision) {
     case UpdateDecision::kApply:
--- a/src/exchange/completions.cpp
+++ b/src/exchange/completions.cpp
@@ -34,7 +34,7 @@
     const Answer::Kind kind = failed ? Answer::Kind::kFailed : Answer::Kind::kRejected;
     return rejectOnceRecorded(*request, status, {kind, retryAfterMs});
   }
-  ++(failed ? parts_.counters.dead : parts_.counters.bounced);
+  ++(failed ? parts_.counters.failed : parts_.counters.returned);
   recordFinalStatus(*request, status, retryAfterMs);
   parts_.sends.drop(id);
 }
@@ -45,8 +45,8 @@
   bool recorded = parts_.journal.recordFinalStatus(request.pending, status, retryAfterMs);
   if (!recorded && isOverdue && status == FinalStatus::kReturned &&
       !parts_.guard.mayNextProcessReject(request.pending)) {
-    --parts_.counters.bounced;
-    ++parts_.counters.dead;
+    --parts_.counters.returned;
+    ++parts_.counters.failed;
     status = FinalStatus::kFailed;
     retryAfterMs = 0;
     recorded = parts_.journal.recordFinalStatus(request.pending, status, retryAfterMs);
@@ -112,8 +112,8 @@
 void Completions::onConfirmed(const std::string& id) {
   if (const OpenRequest* const request = parts_.requests.find(id)) {
     const double lateMs = parts_.loop.nowMs() - request->deadlineMs;
-    if (lateMs > kNotificationLimitMs) ++parts_.counters.overdueNotices;
-    parts_.counters.maxNoticeLateMs = std::max(parts_.counters.maxNoticeLateMs, lateMs);
+    if (lateMs > kNotificationLimitMs) ++parts_.counters.lateNotifications;
+    parts_.counters.maxNotificationLateMs = std::max(parts_.counters.maxNotificationLateMs, lateMs);
     parts_.trace.notified(id, lateMs);
   }
   close(id);
--- a/src/exchange/durability_queue.cpp
+++ b/src/exchange/durability_queue.cpp
@@ -48,7 +48,7 @@
 void DurabilityQueue::answerAccepted(const RequestHandle& handle) {
   OpenRequest* const request = parts_.requests.find(handle);
   if (request == nullptr || !parts_.requests.accept(*request)) return;
-  ++parts_.counters.taken;
+  ++parts_.counters.accepted;
   parts_.trace.taken(handle.id);
   request->answerClient({Answer::Kind::kAccepted});
 }
--- a/src/exchange/request_manager.cpp
+++ b/src/exchange/request_manager.cpp
@@ -132,8 +132,8 @@
 }
 
 void RequestManager::onUnsolicited(const std::string& uid) {
-  log_.repeated(parts_.loop.nowMs(), LogLevel::kWarning, "answer.unsolicited",
-                "bytes of endpoint " + uid + " that answer no call", {{"peer", uid}});
+  log_.writeRateLimited(parts_.loop.nowMs(), LogLevel::kWarning, "answer.unsolicited",
+                        "bytes of endpoint " + uid + " that answer no call", {{"peer", uid}});
 }
 
 // A call that still waits for the disk never left.
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -93,7 +93,7 @@
   const double lateMs = nowMs() - dueMs_;
   if (lateMs <= options_.members.stallMs) return;
   ++stalls_;
-  parts_.log.repeated(
+  parts_.log.writeRateLimited(
       nowMs(), LogLevel::kWarning, "fleet.stalled",
       "fleet: this process stood still for " + std::to_string(static_cast<int>(lateMs)) + " ms",
       {{"ms", lateMs}});
--- a/src/inbound/inbound_serving.cpp
+++ b/src/inbound/inbound_serving.cpp
@@ -65,7 +65,7 @@
   const Behind more = behind(c.reader.buffer());
   if (more == Behind::kRequest) return loop_.setEvents(c.fd.get(), 0);
   if (more != Behind::kRest) return;
-  ++counters_.hangUps;
+  ++counters_.clientDisconnects;
   sink_.onClientDisconnect(c.waiting);
   c.waiting.clear();
   refuse(number, 400);  // see onMessage
@@ -85,7 +85,7 @@
 void Inbound::onReset(Number number) {
   const Connection& c = connections_.at(number);
   if (!c.waiting.empty()) {
-    ++counters_.hangUps;
+    ++counters_.clientDisconnects;
     sink_.onClientDisconnect(c.waiting);
   } else if (c.stage() == Stage::kBegun) {
     ++counters_.malformed;
@@ -160,7 +160,7 @@
   Connection& c = connections_.at(number);
   ++counters_.requests;
   const double unreadMs = loop_.nowMs() - request.arrivedMs;
-  if (unreadMs > kReadLateMs) ++counters_.readLate;
+  if (unreadMs > kReadLateMs) ++counters_.lateReads;
   counters_.maxUnreadMs = std::max(counters_.maxUnreadMs, unreadMs);
   if (trace_) trace_->received(request.id, unreadMs, request.timeLeftMs - unreadMs);
   c.waiting = request.id;
--- a/src/journal/disk_faults.cpp
+++ b/src/journal/disk_faults.cpp
@@ -12,8 +12,9 @@
   ++count_;
   const double now = clock_.steadyMs();
   pausedUntilMs_ = now + pauseMs_;
-  log_.repeated(now, LogLevel::kError, "journal.fault", "journal: " + error.message(),
-                {{"what", error.operation}, {"file", error.file}, {"error", std::strerror(error.number)}});
+  log_.writeRateLimited(
+      now, LogLevel::kError, "journal.fault", "journal: " + error.message(),
+      {{"what", error.operation}, {"file", error.file}, {"error", std::strerror(error.number)}});
 }
 
 }  // namespace myrtleloft
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -129,8 +129,8 @@
     impl_->logger.log(when, spdlog::source_loc(), levelOf(level), impl_->lineOf(event, text, fields));
 }
 
-void Log::repeated(double nowMs, LogLevel level, std::string_view event, std::string_view text,
-                   const Fields& fields) const {
+void Log::writeRateLimited(double nowMs, LogLevel level, std::string_view event, std::string_view text,
+                           const Fields& fields) const {
   Impl::Said& said = impl_->said.try_emplace(std::string(event)).first->second;
   if (nowMs < said.atMs + impl_->options.againMs) {
     ++said.untold;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -73,8 +73,8 @@
   void write(LogLevel level, std::string_view event, std::string_view text, const Fields& fields = {}) const;
   // For what may come again at once: says it if it did not within the last `againMs`, and then how often it
   // came since.
-  void repeated(double nowMs, LogLevel level, std::string_view event, std::string_view text,
-                const Fields& fields = {}) const;
+  void writeRateLimited(double nowMs, LogLevel level, std::string_view event, std::string_view text,
+                        const Fields& fields = {}) const;
   // Lines of "words: key=value ..."; the words become the event, the pairs its fields.
   void pairs(std::string_view lines) const;
 
--- a/src/notices/notices.cpp
+++ b/src/notices/notices.cpp
@@ -48,7 +48,7 @@
   if (posted_ == 0) return;
   // Cut off half-way: whether the old address took them on is not known, and twice does no harm.
   posted_ = 0;
-  ++counters_.noticeRetries;
+  ++counters_.notificationRetries;
   loop_.cancel(timer_);
   again(0);
 }
@@ -79,8 +79,8 @@
   loop_.cancel(timer_);
   if (result.unsolicited) {
     ++counters_.unsolicited;
-    log_.repeated(loop_.nowMs(), LogLevel::kWarning, "answer.unsolicited",
-                  "bytes of the platform that answer no post", {{"peer", "platform"}});
+    log_.writeRateLimited(loop_.nowMs(), LogLevel::kWarning, "answer.unsolicited",
+                          "bytes of the platform that answer no post", {{"peer", "platform"}});
   }
   const std::size_t posted = std::exchange(posted_, 0);
   const int status = result.end == ClientConnection::End::kAnswered ? result.answer.status : 0;
@@ -94,7 +94,7 @@
       log_.write(LogLevel::kError, "notice.refused",
                  "notice not accepted: " + line.substr(0, line.size() - 1), {{"ref", waiting_.front().id}});
     }
-    if (confirmed) counters_.notices += posted;
+    if (confirmed) counters_.notifications += posted;
     oneByOne_ = unreadable || (oneByOne_ && waiting_.size() > posted);
     for (std::size_t i = 0; i < posted; ++i) {
       const std::string id = waiting_.front().id;
@@ -106,7 +106,7 @@
   }
   if (result.end == ClientConnection::End::kNotSent) return onUnsent();
   oneByOne_ = oneByOne_ || status == 400;
-  ++counters_.noticeRetries;
+  ++counters_.notificationRetries;
   ++failuresInRow_;
   unsentInRow_ = 0;
   again(postedAtMs_ + kPostIntervalMs - loop_.nowMs());
@@ -115,7 +115,7 @@
 // It says nothing of how fast the platform answers.
 void Notices::onUnsent() {
   posted_ = 0;
-  ++counters_.noticeRetries;
+  ++counters_.notificationRetries;
   again(unsentRetryMs(++unsentInRow_));
 }
 
--- a/src/outbound/outbound.cpp
+++ b/src/outbound/outbound.cpp
@@ -73,7 +73,7 @@
 void Outbound::begin(std::uint64_t number) {
   Call& call = calls_.at(number);
   ++counters_.calls;
-  counters_.sends += call.items.size();
+  counters_.requestsSent += call.items.size();
   ++counters_.connectionsOut;
   call.connection = std::make_unique<ClientConnection>(loop_, call.address);
   if (!call.connection->open()) return awaitDescriptor(number);
--- a/src/outbound/outbound_ends.cpp
+++ b/src/outbound/outbound_ends.cpp
@@ -95,7 +95,7 @@
   }
   if (result.end == ClientConnection::End::kHeldBack) return reportUnanswered(call, Outcome::kNotSent);
   if (result.end == ClientConnection::End::kSpoilt) {
-    ++counters_.spoilt;
+    ++counters_.malformedAnswers;
     return reportSpoilt(call, result.arrivedMs, result.answer);
   }
   if (result.end != ClientConnection::End::kAnswered && call.parting)
--- a/src/quota/quota_door.cpp
+++ b/src/quota/quota_door.cpp
@@ -83,7 +83,7 @@
   const std::string what =
       refusal->poolFull ? "windows" : kMeasureNames[static_cast<std::size_t>(refusal->measure)];
   const auto seconds = static_cast<std::int64_t>(spanMs / 1000);
-  parts_.log.repeated(
+  parts_.log.writeRateLimited(
       nowMs, LogLevel::kInfo, "quota.refused",
       "quota: " + node + " has no room in its " + what + " of " + std::to_string(seconds) + " s",
       {{"node", node}, {"measure", what}, {"window_s", seconds}});
--- a/src/relay/relay_process_counters.cpp
+++ b/src/relay/relay_process_counters.cpp
@@ -26,11 +26,11 @@
 }
 
 void RelayProcess::printTimeCounters(std::ostream& out) const {
-  out << "counters times: read-late=" << counters_.readLate
+  out << "counters times: read-late=" << counters_.lateReads
       << " max-unread-ms=" << std::llround(counters_.maxUnreadMs)
       << " max-timer-delay-ms=" << std::llround(loop_.maxTimerDelayMs())
-      << " overdue-notices=" << counters_.overdueNotices
-      << " max-notice-late-ms=" << std::llround(counters_.maxNoticeLateMs) << '\n';
+      << " overdue-notices=" << counters_.lateNotifications
+      << " max-notice-late-ms=" << std::llround(counters_.maxNotificationLateMs) << '\n';
 }
 
 void RelayProcess::printJournalCounters(std::ostream& out) const {
--- a/tests/exchange/idempotency_window_test.cpp
+++ b/tests/exchange/idempotency_window_test.cpp
@@ -127,7 +127,7 @@
   site.advance(60);                           // an answer that was on its way is awaited
   CHECK(site.outbound.callsOut() == 0);
   CHECK(site.counters.delivered == 0);
-  CHECK(site.counters.dead + site.counters.bounced == 1);
+  CHECK(site.counters.failed + site.counters.returned == 1);
 }
 
 // The record `taken` is written, and everything after it fails: the attempt, the sync, and the completion.
@@ -176,5 +176,5 @@
   site.advance(30);
   CHECK(site.outbound.callsOut() == 0);
   CHECK(site.counters.delivered == 0);
-  CHECK(site.counters.dead + site.counters.bounced == 1);
+  CHECK(site.counters.failed + site.counters.returned == 1);
 }
--- a/tests/exchange/same_id_test.cpp
+++ b/tests/exchange/same_id_test.cpp
@@ -36,7 +36,7 @@
     advanceAndSync(site);
     CHECK(site.answersById["m"] == Kinds{Answer::Kind::kAccepted});
     CHECK(site.isPendingOnDisk("m"));
-    CHECK(site.counters.taken == 1);
+    CHECK(site.counters.accepted == 1);
     CHECK(site.counters.failFastFull == 0);
     site.manager->onConfirmed("m");
     CHECK(site.journal->usage().live == 0);
--- a/tests/exchange/slow_sync_test.cpp
+++ b/tests/exchange/slow_sync_test.cpp
@@ -30,7 +30,7 @@
                           [&site](const Answer& answer) { site.answers.push_back(answer.kind); });
 }
 
-std::uint64_t finalStatuses(const Site& site) { return site.counters.dead + site.counters.bounced; }
+std::uint64_t finalStatuses(const Site& site) { return site.counters.failed + site.counters.returned; }
 
 void sync(Site& site) {
   for (int i = 0; i < 3; ++i) {  // the first covers what was written before
--- a/tests/exchange/stalled_turn_test.cpp
+++ b/tests/exchange/stalled_turn_test.cpp
@@ -162,6 +162,6 @@
     REQUIRE(writeSome(peer, "HTTP/1.1 204 No Content\r\n\r\n", written) == Io::kProgress);
   });
   turn();
-  CHECK(counters.notices == 1);
-  CHECK(counters.noticeRetries == 0);
+  CHECK(counters.notifications == 1);
+  CHECK(counters.notificationRetries == 0);
 }
--- a/tests/integration/days_test.cpp
+++ b/tests/integration/days_test.cpp
@@ -295,7 +295,7 @@
       CHECK_MESSAGE(growth.none(), "held " << growth.early << " bytes early, " << growth.late << " late");
       // It was a test of something.
       CHECK(relay.taken > number / 2);
-      CHECK(relay.counters().notices > 100);
+      CHECK(relay.counters().notifications > 100);
     }
   }
 }
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -59,11 +59,11 @@
   std::ostringstream out;
   const Log log(out, {}, fixed);
   const Log copy = log;
-  log.repeated(0, LogLevel::kError, "journal.fault", "x", {});
-  for (int ms = 1; ms < 1000; ++ms) copy.repeated(ms, LogLevel::kError, "journal.fault", "x", {});
-  log.repeated(500, LogLevel::kError, "list.gap", "another", {});
-  log.repeated(1000, LogLevel::kError, "journal.fault", "x", {});
-  log.repeated(5000, LogLevel::kError, "journal.fault", "x", {});
+  log.writeRateLimited(0, LogLevel::kError, "journal.fault", "x", {});
+  for (int ms = 1; ms < 1000; ++ms) copy.writeRateLimited(ms, LogLevel::kError, "journal.fault", "x", {});
+  log.writeRateLimited(500, LogLevel::kError, "list.gap", "another", {});
+  log.writeRateLimited(1000, LogLevel::kError, "journal.fault", "x", {});
+  log.writeRateLimited(5000, LogLevel::kError, "journal.fault", "x", {});
   CHECK_EQ(out.str(), "x\nanother\nx (and 999 before)\nx\n");
 }
 
--- a/tests/notices/notices_test.cpp
+++ b/tests/notices/notices_test.cpp
@@ -103,7 +103,7 @@
     platform.faults = unsent <= 2 ? 1 : 0;
     const double dueMs = platform.clock.nowMs;
     platform.notifications.add("a", FinalStatus::kFailed, 0);
-    while (platform.counters.noticeRetries < static_cast<std::uint64_t>(unsent) &&
+    while (platform.counters.notificationRetries < static_cast<std::uint64_t>(unsent) &&
            platform.clock.nowMs - dueMs < 2 * kAllowedMs)
       platform.advance(kStepMs);
     platform.hub.acceptAgain(platform.address.text);
@@ -120,9 +120,9 @@
   platform.hub.refuse(platform.address.text);
   platform.notifications.add("a", FinalStatus::kFailed, 0);
   platform.advance(1000);
-  const auto before = platform.counters.noticeRetries;
+  const auto before = platform.counters.notificationRetries;
   platform.advance(1000);
-  CHECK(platform.counters.noticeRetries - before <= 10);
+  CHECK(platform.counters.notificationRetries - before <= 10);
   platform.hub.acceptAgain(platform.address.text);
   platform.advance(110 + 2 * kStepMs);
   CHECK(platform.heardMs.count("a") == 1);
