--- a/src/counters/counters.h
+++ b/src/counters/counters.h
@@ -1,4 +1,5 @@
-// What the relay has taken in, sent and answered since its start.
+// Counts what the relay received, sent and completed since its start. The relay logs the counters at SIGUSR1
+// and at its end; docs/operators/log.md lists the printed names.
 #pragma once
 
 #include <array>
@@ -8,37 +9,41 @@
 namespace myrtleloft {
 
 struct Counters {
-  // inbound
+  // Clients. `failFast` counts requests that the decision module rejected before their 202. The others were
+  // rejected at once: because the relay was full or draining, a sync was overdue, the destination was
+  // unknown, the endpoint list too old, or a quota used up.
   std::uint64_t connectionsIn = 0, requests = 0, malformed = 0, accepted = 0, failFast = 0, failFastFull = 0;
   std::uint64_t failFastUnknown = 0, failFastStale = 0, failFastQuota = 0;
   std::uint64_t clientDisconnects = 0, evicted = 0, recovered = 0;
-  // Requests that lay unread for more than 20 ms before they were read, and the longest of all, in ms.
+  // Requests that were read more than 20 ms after their arrival, and the longest such delay in milliseconds.
   std::uint64_t lateReads = 0;
   double maxUnreadMs = 0;
-  // outbound
+  // Upstream: connections, calls, requests in those calls, and malformed or incomplete answers.
   std::uint64_t connectionsOut = 0, calls = 0, requestsSent = 0, malformedAnswers = 0;
-  // Answers of endpoints, platform and discovery beside which bytes came that answer no call.
+  // Answers of endpoints, the platform and discovery that came with bytes belonging to no call.
   std::uint64_t unsolicited = 0;
   static constexpr std::array kOutcomeNames = {"good",          "bad",   "full",      "late",
                                                "no-connection", "reset", "cancelled", "not-sent"};
   std::array<std::uint64_t, 8> outcomes{};  // in the order of Outcome
-  // What exchange/rule_guard.h withheld, in the order of Violation.
+  // Rule violations found by exchange/rule_guard.h, in the order of Violation.
   static constexpr std::size_t kGuardKinds = 10;
   std::array<std::uint64_t, kGuardKinds> guard{};
-  // Clients' connections closed, in the order of CloseReason (inbound/close_reason.h); those of them on which
-  // a request was not answered and the client had not gone; and second and further calls of a request.
+  // Closed client connections, in the order of CloseReason (inbound/close_reason.h). `closedUnanswered`
+  // counts those with an unanswered request whose client had not disconnected, `retries` all calls of a
+  // request after the first.
   static constexpr std::size_t kCloseReasons = 9;
   std::array<std::uint64_t, kCloseReasons> closes{};
   std::uint64_t closedUnanswered = 0, retries = 0;
-  // completed
+  // Completed requests by final status, and notifications to the platform.
   std::uint64_t delivered = 0, expired = 0, failed = 0, returned = 0, notifications = 0,
                 notificationRetries = 0;
-  // Notifications that the platform confirmed over 300 ms after the deadline, and the latest of all, in ms.
+  // Notifications that the platform confirmed more than 300 ms after the deadline, and the longest delay
+  // after a deadline in milliseconds.
   std::uint64_t lateNotifications = 0;
   double maxNotificationLateMs = 0;
-  // Steps of requests (202, rejection, giving up) that came after another part had decided the request.
+  // Changes of a request's phase (202, rejection, giving up) refused because the request had been decided.
   std::uint64_t decidedBefore = 0;
-  // the rest
+  // Batches, endpoint lists, journal and configuration.
   std::uint64_t batches = 0, lists = 0, listFaults = 0, listsRejected = 0, journalFaults = 0, compactions = 0;
   std::uint64_t reloads = 0, reloadFaults = 0;
 
--- a/src/exchange/admission.h
+++ b/src/exchange/admission.h
@@ -1,13 +1,15 @@
-// Whether a new request comes in. What is admitted goes to the decision module with the next batch; unless
-// that gives it up at once, it is recorded in the journal, and accepted when the record is durable.
+// Admission control: decides whether a new request is admitted or rejected. An admitted request goes to the
+// decision module with the next batch. Unless the module gives it up in that batch, it is recorded in the
+// journal, and its client is answered 202 once the record is durable.
 //
-//   admission.onRequest(std::move(request), answer);        // from the client side
-//   for (const RequestHandle& request : admission.takeNew()) ...   // in the batch that decided on them
-//     if (admission.recordAccepted(request)) commit.stageAccepted(request);
+//   admission.onRequest(std::move(request), callback);                     // called by the HTTP server
+//   for (const RequestHandle& request : admission.takeNewRequests()) ...   // after the batch was decided
+//     if (admission.recordAccepted(request)) durabilityQueue.stageAccepted(request);
 //
-// Requests are rejected while the relay drains or is full, for destinations that nobody named, for an
-// endpoint list that is too old, and for quotas; each of them is counted and logged. One thread; O(log
-// requests), and a record of the journal in `recordAccepted`.
+// A request is rejected while the relay drains or is full, while too many batches wait for a sync, if no
+// endpoint list has named its destination, if the endpoint list is too old for its class, or if a quota is
+// used up. Each rejection is counted and logged. Single-threaded; O(log requests), plus one journal record in
+// `recordAccepted`.
 #pragma once
 
 #include <optional>
@@ -32,20 +34,22 @@
     const QuotaCharges& quotas;
     BatchScheduler& scheduler;
     const RequestTrace& trace;
-    const DurabilityQueue& commit;
+    const DurabilityQueue& durabilityQueue;
   };
   explicit Admission(const Parts& parts) : parts_(parts) {}
 
-  // As RequestSink::onRequest; the request's time runs from its arrival. The same request again is accepted;
-  // another one under its id is malformed, as is one with much more time than its class allows.
-  void onRequest(IncomingRequest request, RequestSink::AnswerCallback answer);
-  // What came in since the last batch, in its order; some of it may be gone again.
-  std::vector<RequestHandle> takeNew() { return std::exchange(new_, {}); }
-  // Records a request that the module has not given up in the batch it came with. false: it is gone; what
-  // cannot be recorded would not outlast the process, and is rejected.
+  // Implements RequestSink::onRequest; the request's time runs from its arrival. A repetition of a request
+  // that is already accepted is answered as accepted. A different request under the same id is answered as
+  // malformed, as is a request with much more time left than its class allows.
+  void onRequest(IncomingRequest request, RequestSink::AnswerCallback callback);
+  // Returns the requests admitted since the last batch, in order of arrival, and clears the list. Some of
+  // them may have been closed meanwhile.
+  std::vector<RequestHandle> takeNewRequests() { return std::exchange(newRequests_, {}); }
+  // Records a request that the module has not given up in its first batch. Returns false if the request is no
+  // longer open, or if the journal cannot record it: it would not survive a restart, so it is rejected.
   bool recordAccepted(const RequestHandle& handle);
-  // The relay drains: what came in since the last batch is rejected.
-  void rejectNew();
+  // Rejects the requests admitted since the last batch, because the relay drains.
+  void rejectNewRequests();
 
  private:
   struct Rejection {
@@ -54,15 +58,15 @@
   };
 
   static bool isSame(const OpenRequest& known, const IncomingRequest& request);
-  // Why nothing like the request is admitted now; counts it.
+  // Returns the reason for which the request is rejected, and counts it; std::nullopt if there is none.
   std::optional<Rejection> findRejection(const IncomingRequest& request) const;
-  void reject(const std::string& id, const RequestSink::AnswerCallback& answer, RejectReason reason,
-              const Answer& text) const;
-  void open(IncomingRequest request, RequestSink::AnswerCallback answer, double timeLeftMs,
+  void reject(const std::string& id, const RequestSink::AnswerCallback& callback, RejectReason reason,
+              const Answer& answer) const;
+  void open(IncomingRequest request, RequestSink::AnswerCallback callback, double timeLeftMs,
             const QuotaCharge& charge);
 
   Parts parts_;
-  std::vector<RequestHandle> new_;
+  std::vector<RequestHandle> newRequests_;
 };
 
 }  // namespace myrtleloft
--- a/src/exchange/batch_scheduler.cpp
+++ b/src/exchange/batch_scheduler.cpp
@@ -5,11 +5,11 @@
 
 namespace myrtleloft {
 
-BatchScheduler::BatchScheduler(const Parts& parts, const Settings& settings, CarryOut carryOut)
+BatchScheduler::BatchScheduler(const Parts& parts, const Settings& settings, ActionHandler actionHandler)
     : parts_(parts),
       intervalMs_(settings.batchIntervalMs),
       dispatcher_(settings),
-      carryOut_(std::move(carryOut)) {}
+      actionHandler_(std::move(actionHandler)) {}
 
 void BatchScheduler::push(Event event) {
   if (stopped_) return;
@@ -29,7 +29,7 @@
   ++parts_.counters.batches;
   const std::vector<Event> events = std::exchange(events_, {});
   if (observer_) observer_(batchMs_, events);
-  carryOut_(dispatcher_.onBatch(batchMs_, events));
+  actionHandler_(dispatcher_.onBatch(batchMs_, events));
 }
 
 void BatchScheduler::stop() {
--- a/src/exchange/batch_scheduler.h
+++ b/src/exchange/batch_scheduler.h
@@ -1,10 +1,10 @@
-// Collects what the decision module is to know, and runs its batches: at most one in the settings' batch
-// interval, and only when something has happened.
+// Collects events for the decision module and runs its batches: at most one per batch interval of the
+// settings, and only if there are new events.
 //
 //   BatchScheduler scheduler({loop, counters}, settings, [](const std::vector<Action>& actions) { ... });
-//   scheduler.push(ClientDisconnectEvent{id});   // decided on in the next batch
+//   scheduler.push(ClientDisconnectEvent{id});   // part of the next batch
 //
-// Owns the module. One thread; a batch costs what the module and the carrying out of its actions cost.
+// Owns the decision module. Single-threaded; a batch costs what the module and the action handler cost.
 #pragma once
 
 #include <functional>
@@ -22,23 +22,24 @@
     Loop& loop;
     Counters& counters;
   };
-  // Carries out the actions of one batch, in their order. It may push events for the next one.
-  using CarryOut = std::function<void(const std::vector<Action>& actions)>;
-  // Sees the events of each batch just before the module decides; it changes nothing.
+  // Executes the actions of one batch, in their order. It may push events for the next batch.
+  using ActionHandler = std::function<void(const std::vector<Action>& actions)>;
+  // Is called with the events of each batch just before the module decides; it must not change anything.
   using Observer = std::function<void(double nowMs, const std::vector<Event>& events)>;
 
-  BatchScheduler(const Parts& parts, const Settings& settings, CarryOut carryOut);
+  BatchScheduler(const Parts& parts, const Settings& settings, ActionHandler actionHandler);
 
-  // For the next batch, and schedules it; dropped once stopped.
+  // Adds an event to the next batch and schedules that batch. Events pushed after `stop` are dropped.
   void push(Event event);
-  // For the next batch, without scheduling one; for a start, which ends with `run`.
+  // Adds an event to the next batch without scheduling one, for a start that calls `run` itself.
   void enqueue(Event event) { events_.push_back(std::move(event)); }
+  // Runs a batch with the events collected so far.
   void run();
-  // No batch any more; what was pushed is dropped.
+  // No further batch runs; the events collected so far are dropped.
   void stop();
   bool stopped() const { return stopped_; }
   void observe(Observer observer) { observer_ = std::move(observer); }
-  // The loop's time at the start of the latest batch, in ms.
+  // The loop's time at the start of the latest batch, in milliseconds.
   double batchMs() const { return batchMs_; }
 
  private:
@@ -49,7 +50,7 @@
   Parts parts_;
   double intervalMs_;
   Dispatcher dispatcher_;
-  CarryOut carryOut_;
+  ActionHandler actionHandler_;
   Observer observer_;
   std::vector<Event> events_;
   double batchMs_ = kNeverMs;
--- a/src/exchange/call_tracker.cpp
+++ b/src/exchange/call_tracker.cpp
@@ -42,18 +42,19 @@
 
 void CallTracker::onOutcomes(const std::string& endpoint, const std::vector<CallOutcome>& outcomes,
                              const LoadReport& report) {
-  bool mustWait = false;
+  bool hasRetryAfter = false;
   for (const CallOutcome& outcome : outcomes) {
     if (parts_.requests.find(outcome.id) == nullptr) continue;
     onOutcome(endpoint, outcome, report);
-    mustWait = mustWait || statesRetryAfter(outcome);
+    hasRetryAfter = hasRetryAfter || statesRetryAfter(outcome);
   }
-  if (mustWait) withdrawCallsTo(endpoint);
+  if (hasRetryAfter) withdrawCallsTo(endpoint);
 }
 
 void CallTracker::onOutcome(const std::string& endpoint, CallOutcome outcome, const LoadReport& report) {
   OpenRequest& request = parts_.requests.at(outcome.id);
-  // By its client's clock the deadline may have passed. The notification does no harm to what was delivered.
+  // By the client's clock the deadline may have passed already, and the client then relies on the platform's
+  // notification. Notifying the platform of a request that was delivered after all does no harm.
   const bool isTooLate = outcome.arrivedMs > request.deadlineMs - kDeadlineMarginMs;
   if (outcome.outcome == Outcome::kSuccess && isTooLate) {
     outcome.outcome = Outcome::kTimeout;
@@ -75,19 +76,19 @@
     parts_.journal.recordNotExecuted(request.pending);
     parts_.quotas.refundCall(request.charge);
   } else {
-    QuotaCharges::keepCall(request.charge);
+    QuotaCharges::confirmCall(request.charge);
   }
 }
 
 void CallTracker::withdrawCallsTo(const std::string& endpoint) {
-  const EndpointRecord* const stated = parts_.endpoints.find(endpoint);
-  parts_.commit.withdrawCalls([&](const std::string& other) {
-    if (other == endpoint || stated == nullptr) return other == endpoint;
+  const EndpointRecord* const limited = parts_.endpoints.find(endpoint);
+  parts_.durabilityQueue.withdrawCalls([&](const std::string& other) {
+    if (other == endpoint || limited == nullptr) return other == endpoint;
     const EndpointRecord* const record = parts_.endpoints.find(other);
     const std::vector<bool>& separate = parts_.settings.kindHasSeparateLimits;
-    const auto kind = static_cast<std::size_t>(std::max(0, stated->info.kind));
+    const auto kind = static_cast<std::size_t>(std::max(0, limited->info.kind));
     const bool hasSeparateLimit = kind < separate.size() && separate[kind];
-    return !hasSeparateLimit && record != nullptr && record->info.destination == stated->info.destination;
+    return !hasSeparateLimit && record != nullptr && record->info.destination == limited->info.destination;
   });
 }
 
--- a/src/exchange/call_tracker.h
+++ b/src/exchange/call_tracker.h
@@ -1,8 +1,9 @@
-// Calls from their first byte to their outcome: checks each call once more before it leaves, knows which
-// requests are in flight, and hands the outcomes on to the decision module and the journal.
+// Tracks calls from their first byte to their outcome: checks each call against the rules just before it is
+// sent, keeps track of which requests are in flight, and passes the outcomes to the decision module and the
+// journal.
 //
-// Its state is OpenRequest::callInFlight, which nobody else changes. One thread; O(log requests) for each
-// request of a call, and a record of the journal for one that is known not executed or completed.
+// Its only state is OpenRequest::callInFlight, which no other class changes. Single-threaded; O(log requests)
+// for each request of a call, plus one journal record for a request that is known not executed or completed.
 #pragma once
 
 #include <string>
@@ -26,23 +27,24 @@
     RuleGuard& guard;
     const RequestTrace& trace;
     Completions& completions;
-    DurabilityQueue& commit;
+    DurabilityQueue& durabilityQueue;
   };
   explicit CallTracker(const Parts& parts) : parts_(parts) {}
 
-  // As CallListener::mayLeave: false where one of its requests would break a rule.
+  // Implements CallListener::mayLeave. Returns false if the call would break a rule for one of its requests.
   bool mayLeave(const Departure& call);
-  // As CallListener::onOutcomes. If the endpoint stated a Retry-After, calls to it that have not left are
-  // withdrawn.
+  // Implements CallListener::onOutcomes. If the endpoint stated a Retry-After, calls to it that have not been
+  // sent are withdrawn.
   void onOutcomes(const std::string& endpoint, const std::vector<CallOutcome>& outcomes,
                   const LoadReport& report);
 
  private:
-  // The rule that the call would break with that request; none: it may leave.
+  // Returns the rule that the call would break for that request, or std::nullopt if it may be sent.
   std::optional<Violation> violationOf(const Departure& call, const std::string& id,
                                        const EndpointRecord* endpoint);
   void onOutcome(const std::string& endpoint, CallOutcome outcome, const LoadReport& report);
-  // For `endpoint` and for those that share its limit, as the module may not have known when it decided.
+  // Withdraws calls to `endpoint` and to the endpoints that share its limit: the module may have decided on
+  // them before the Retry-After was known.
   void withdrawCallsTo(const std::string& endpoint);
 
   Parts parts_;
--- a/src/exchange/completions.cpp
+++ b/src/exchange/completions.cpp
@@ -8,11 +8,11 @@
 namespace myrtleloft {
 namespace {
 
-// PROTOCOL, "The rules on sockets": how long after its deadline a request may be without its final status.
+// How long after its deadline a request may be without a final status (PROTOCOL, "The rules on sockets").
 constexpr double kNotificationLimitMs = 300;
 
-// The log's word for a final status.
-const char* wordOf(FinalStatus status) { return status == FinalStatus::kFailed ? "dead" : "bounced"; }
+// The final status as the log and the platform name it.
+const char* nameOf(FinalStatus status) { return status == FinalStatus::kFailed ? "dead" : "bounced"; }
 
 }  // namespace
 
@@ -29,8 +29,8 @@
   if (phase == RequestPhase::kRejected) {
     ++parts_.counters.failFast;
     if (!failed) parts_.quotas.refundRequest(request->charge, request->pending.classIndex);
-    const RejectReason reason = failed ? RejectReason::kFailed : RejectReason::kDecided;
-    parts_.trace.refused(id, myrtleloft::wordOf(reason), retryAfterMs);
+    const RejectReason reason = failed ? RejectReason::kFailed : RejectReason::kNotExecuted;
+    parts_.trace.rejected(id, myrtleloft::nameOf(reason), retryAfterMs);
     const Answer::Kind kind = failed ? Answer::Kind::kFailed : Answer::Kind::kRejected;
     return rejectOnceRecorded(*request, status, {kind, retryAfterMs});
   }
@@ -51,21 +51,22 @@
     retryAfterMs = 0;
     recorded = parts_.journal.recordFinalStatus(request.pending, status, retryAfterMs);
   }
-  parts_.trace.ended(request.pending.id, wordOf(status), retryAfterMs, recorded, request.deadlineMs - nowMs);
+  parts_.trace.completed(request.pending.id, nameOf(status), retryAfterMs, recorded,
+                         request.deadlineMs - nowMs);
   if (recorded || isOverdue) return parts_.notifications.add(request.pending.id, status, retryAfterMs);
   ++parts_.counters.journalFaults;
-  unnotified_.push_back(request.handle());
+  unrecordedStatuses_.push_back(request.handle());
   const double retryMs = std::min(nowMs + parts_.journal.restMs(), request.deadlineMs);
-  if (notifyTimer_ != Loop::kNoTimer && notifyTimer_.first <= retryMs) return;
-  parts_.loop.cancel(notifyTimer_);
-  notifyTimer_ = parts_.loop.after(retryMs - nowMs, [this] { retryFinalStatuses(); });
+  if (statusTimer_ != Loop::kNoTimer && statusTimer_.first <= retryMs) return;
+  parts_.loop.cancel(statusTimer_);
+  statusTimer_ = parts_.loop.after(retryMs - nowMs, [this] { retryFinalStatuses(); });
 }
 
 void Completions::retryFinalStatuses() {
-  notifyTimer_ = Loop::kNoTimer;
-  for (const RequestHandle& handle : std::exchange(unnotified_, {})) {
+  statusTimer_ = Loop::kNoTimer;
+  for (const RequestHandle& handle : std::exchange(unrecordedStatuses_, {})) {
     OpenRequest* const request = parts_.requests.find(handle);
-    if (request == nullptr) continue;  // delivered after all, by a call that was still in flight
+    if (request == nullptr) continue;  // delivered meanwhile by a call that was still in flight
     recordFinalStatus(*request, request->pending.status, request->pending.retryAfterMs);
   }
 }
@@ -77,34 +78,34 @@
     return close(handle.id);
   }
   request.pending.status = status;
-  request.pending.ambiguousAttempts.clear();  // its call, if any, waits as well and never leaves
+  request.pending.ambiguousAttempts.clear();  // a call, if any, still waits for its sync and is never sent
   parts_.sends.drop(handle.id);
-  unrejected_.push_back({handle, answer});
+  pendingRejections_.push_back({handle, answer});
   if (rejectTimer_ == Loop::kNoTimer)
     rejectTimer_ = parts_.loop.after(parts_.journal.restMs(), [this] { retryRejections(); });
 }
 
 void Completions::retryRejections() {
   rejectTimer_ = Loop::kNoTimer;
-  parts_.compactor.step();  // which records the completions that wait
-  for (PendingRejection& rejection : std::exchange(unrejected_, {})) {
+  parts_.compactor.step();  // also writes the completion records that could not be written before
+  for (PendingRejection& rejection : std::exchange(pendingRejections_, {})) {
     OpenRequest* const request = parts_.requests.find(rejection.request);
-    if (request == nullptr) continue;  // its client has gone
+    if (request == nullptr) continue;  // its client has disconnected
     if (!parts_.journal.completionRecorded(rejection.request.id)) {
-      unrejected_.push_back(std::move(rejection));
+      pendingRejections_.push_back(std::move(rejection));
       continue;
     }
     request->answerClient(rejection.answer);
     close(rejection.request.id);
   }
-  if (!unrejected_.empty())
+  if (!pendingRejections_.empty())
     rejectTimer_ = parts_.loop.after(parts_.journal.restMs(), [this] { retryRejections(); });
 }
 
 void Completions::close(const std::string& id) {
   OpenRequest* const request = parts_.requests.find(id);
   if (request == nullptr) return;
-  parts_.journal.recordCompleted(request->pending);  // does nothing where it was not recorded
+  parts_.journal.recordCompleted(request->pending);  // has no effect if the request was never recorded
   parts_.requests.erase(id);
   parts_.sends.drop(id);
 }
@@ -120,9 +121,9 @@
 }
 
 void Completions::answerPendingRejections() {
-  for (const PendingRejection& rejection : std::exchange(unrejected_, {})) {
+  for (const PendingRejection& rejection : std::exchange(pendingRejections_, {})) {
     OpenRequest* const request = parts_.requests.find(rejection.request);
-    if (request == nullptr) continue;  // its client has gone
+    if (request == nullptr) continue;  // its client has disconnected
     const bool isRecorded = parts_.journal.completionRecorded(rejection.request.id);
     request->answerClient(isRecorded ? rejection.answer : Answer{Answer::Kind::kAccepted});
   }
--- a/src/exchange/completions.h
+++ b/src/exchange/completions.h
@@ -1,12 +1,14 @@
-// How requests complete. The client that still waits, or else the platform, learns only what the next process
-// would know too: so each completion is recorded first, and waits for the disk where it cannot be.
+// Completes requests. The client (before its 202) or the platform (after it) is told only what the next
+// process would know from the journal as well. Each completion is therefore recorded first; if the disk
+// fails, the answer or notification is delayed until it can be recorded.
 //
-//   completions.giveUp(id, FinalStatus::kReturned, retryAfterMs);   // the decision module's
-//   completions.close(id);   // delivered, or its notification confirmed
+//   completions.giveUp(id, FinalStatus::kReturned, retryAfterMs);   // by the decision module
+//   completions.close(id);                                          // delivered, or its notification
+//   confirmed
 //
-// Invariants: a request in `unnotified_` has its final status and no notification yet; one in `unrejected_`
-// is over and keeps its client's callback, or the client has gone. One thread; O(log requests) and a record
-// of the journal each.
+// Invariants: a request in `unrecordedStatuses_` has a final status, and its notification has not been sent.
+// A request in `pendingRejections_` is given up and keeps its client's callback, unless the client has
+// disconnected. Single-threaded; each call costs O(log requests) and one journal record.
 #pragma once
 
 #include <string>
@@ -37,24 +39,28 @@
   };
   explicit Completions(const Parts& parts) : parts_(parts) {}
 
-  // The decision module gives the request up. The client hears so if it still waits, else the platform. No
-  // request that may have been executed is returned: it fails.
+  // The decision module gives the request up. The client is told if it still waits for its 202, otherwise the
+  // platform is notified. A request that may have been executed is never returned; it is completed as failed.
   void giveUp(const std::string& id, FinalStatus status, double retryAfterMs);
-  // Records an accepted request's final status and notifies the platform. Where it cannot be recorded, the
-  // notification waits until it can be, or until the deadline: the next process would know neither, and send
-  // what the platform takes for over. After the deadline it sends nothing, and notifies a second time: so
-  // what is said without a record says no more than that process will, by the records that there are. A
-  // request that never ran fails then, where the disk has an attempt of it that may have been executed.
+  // Records the final status of an accepted request and notifies the platform. While the status cannot be
+  // recorded, the notification waits, at the latest until the deadline: after a restart the next process
+  // would not know the status, and would send a request that the platform takes for completed. After the
+  // deadline the next process sends no more calls, but notifies a second time. A status that is notified
+  // without a record must therefore be the one that the next process will derive from the journal: a request
+  // that was not executed is notified as failed if the journal has an attempt of it that counts as ambiguous.
   void recordFinalStatus(OpenRequest& request, FinalStatus status, double retryAfterMs);
-  // A request whose client has no 202 yet is over: the client gets `answer` once no process will find the
-  // request pending. Until then it stays open, unanswered. It may be gone afterwards.
+  // Ends a request whose client has no 202 yet: the client gets `answer` once no later process can find the
+  // request pending in the journal. Until then the request stays open and unanswered. `request` may be erased
+  // by this call.
   void rejectOnceRecorded(OpenRequest& request, FinalStatus status, const Answer& answer);
-  // The platform has confirmed the notification of that request: counts how late it was, and closes it.
+  // The platform has confirmed the notification of that request: counts it if it was late, and closes the
+  // request.
   void onConfirmed(const std::string& id);
-  // Nothing is left to do for an open request: records that and forgets it. `id` must not be a part of it.
+  // Records that nothing is left to do for an open request, and erases it. `id` must not refer into the
+  // request.
   void close(const std::string& id);
-  // The process ends: clients whose rejection still waits for its record get a 202, as the next process will
-  // find their requests pending; those whose rejection has been recorded meanwhile are rejected.
+  // For the end of the process: clients whose rejection is not recorded yet are answered 202, because the
+  // next process will find their requests pending. Clients whose rejection has been recorded are rejected.
   void answerPendingRejections();
 
  private:
@@ -67,9 +73,9 @@
   void retryRejections();
 
   Parts parts_;
-  std::vector<RequestHandle> unnotified_;
-  Loop::Timer notifyTimer_ = Loop::kNoTimer;
-  std::vector<PendingRejection> unrejected_;
+  std::vector<RequestHandle> unrecordedStatuses_;
+  Loop::Timer statusTimer_ = Loop::kNoTimer;
+  std::vector<PendingRejection> pendingRejections_;
   Loop::Timer rejectTimer_ = Loop::kNoTimer;
 };
 
--- a/src/exchange/durability_queue.cpp
+++ b/src/exchange/durability_queue.cpp
@@ -7,7 +7,7 @@
 namespace myrtleloft {
 namespace {
 
-// The part of an idempotency window in which a retry's last byte may leave: it still has its way to go.
+// Share of the idempotency window in which a retry's last byte may be sent; the rest covers its transit time.
 constexpr double kUsableWindowShare = 0.97;
 
 }  // namespace
@@ -25,10 +25,10 @@
     for (const RequestHandle& request : batch.accepted) answerAccepted(request);
     for (PlannedCall& call : batch.calls) makeCall(call);
   }
-  armExpiry();
+  scheduleExpiry();
 }
 
-void DurabilityQueue::armExpiry() {
+void DurabilityQueue::scheduleExpiry() {
   parts_.loop.cancel(expiryTimer_);
   double soonestMs = std::numeric_limits<double>::infinity();
   for (const Batch& batch : waiting_)
@@ -42,14 +42,14 @@
   expiryTimer_ = Loop::kNoTimer;
   const double nowMs = parts_.loop.nowMs();
   reportUnsent([nowMs](const PlannedCall&, const CallItem& item) { return item.answerByMs <= nowMs; });
-  armExpiry();
+  scheduleExpiry();
 }
 
 void DurabilityQueue::answerAccepted(const RequestHandle& handle) {
   OpenRequest* const request = parts_.requests.find(handle);
   if (request == nullptr || !parts_.requests.accept(*request)) return;
   ++parts_.counters.accepted;
-  parts_.trace.taken(handle.id);
+  parts_.trace.accepted(handle.id);
   request->answerClient({Answer::Kind::kAccepted});
 }
 
@@ -62,9 +62,9 @@
     const OpenRequest* const request = parts_.requests.find(item.id);
     const bool isUndecided = request != nullptr && request->isUndecided();
     if (isUndecided) item.leaveByMs = sendDeadlineMs(*request);
-    // While it waited for the disk the request may have completed, its time or its idempotency window may
-    // have passed, or the endpoint may have gone or begun to drain. The time to connect counts: at the
-    // window's end the call would only be withdrawn.
+    // While the call waited for the sync, the request may have completed, its deadline or its idempotency
+    // window may have passed, or the endpoint may have been removed or begun to drain. The connect timeout
+    // counts as well: a call that is still connecting at the end of the window would only be withdrawn then.
     const bool hasTime =
         nowMs < item.answerByMs && nowMs + parts_.settings.connectTimeoutMs <= item.leaveByMs;
     if (isUndecided && isRunning && hasTime) {
@@ -76,8 +76,8 @@
   if (!items.empty()) parts_.outbound.call(*endpoint, std::move(items));
 }
 
-// The module decided inside the window; the disk, a call slot, the connection or the endpoint may take any
-// time.
+// The module decides within the window, but the sync, the wait for a call slot, the connection or a slow
+// endpoint may delay the call beyond it.
 double DurabilityQueue::sendDeadlineMs(const OpenRequest& request) const {
   const ClassSettings& requestClass =
       parts_.settings.classes.at(static_cast<std::size_t>(request.pending.classIndex));
--- a/src/exchange/durability_queue.h
+++ b/src/exchange/durability_queue.h
@@ -1,17 +1,17 @@
-// What may only be done once the journal is as safe as its level asks: answering 202, and calls. It waits
-// here, batch by batch and in order, until a sync has covered its records; at the level `process` for no time
-// at all.
+// Holds back 202 answers and calls until their journal records are durable, batch by batch and in order. At
+// the durability level `group` a batch waits for the sync that covers its records; at the level `process` it
+// is released at once.
 //
-//   commit.stageAccepted(request.handle());
-//   commit.stageCall(std::move(call));
-//   commit.closeBatch();        // its records end at the journal's position of now
+//   queue.stageAccepted(request.handle());
+//   queue.stageCall(std::move(call));
+//   queue.closeBatch();        // the batch's records end at the journal's current position
 //   journal.sync();
-//   commit.releaseDurable();    // here, and again when a sync is done
+//   queue.releaseDurable();    // now, and again after each sync
 //
-// A call whose time is up while it waits is reported as not sent, however long the sync takes.
+// A waiting call whose time runs out is reported as not sent, even if the sync takes longer.
 //
-// Invariant: the positions of `waiting_` do not decrease, and what is staged has not been closed. One thread;
-// each costs O(what waits).
+// Invariants: the positions of the batches in `waiting_` do not decrease; `staged_` is the batch that has not
+// been closed. Single-threaded; each operation costs O(waiting calls).
 #pragma once
 
 #include <cstdint>
@@ -48,29 +48,31 @@
   DurabilityQueue(const DurabilityQueue&) = delete;
   DurabilityQueue& operator=(const DurabilityQueue&) = delete;
 
-  // Of the batch that is being carried out.
+  // Add to the current batch, until `closeBatch` queues it.
   void stageAccepted(RequestHandle request) { staged_.accepted.push_back(std::move(request)); }
   void stageCall(PlannedCall call) { staged_.calls.push_back(std::move(call)); }
   void closeBatch();
   // Answers the clients and makes the calls whose records are durable.
   void releaseDurable();
-  // A sync hangs: more batches wait for it than a second brings.
+  // Whether so many batches wait that a sync must be hanging.
   bool isFull() const { return waiting_.size() >= kMaxWaitingBatches; }
 
-  // The decision module cancels a call, or its request is closed. false: none with that request waits here.
+  // Reports the waiting calls with that request as not sent, because the decision module has cancelled it or
+  // the request is closed. Returns false if no such call waits here.
   bool cancelCall(const std::string& id);
-  // Calls that have not left, here and in `outbound`, to the endpoints for which `affected` holds, are
-  // reported as not sent.
+  // Reports calls that have not been sent, here and in `outbound`, as not sent if `affected` holds for their
+  // endpoint.
   void withdrawCalls(const EndpointPredicate& affected);
-  // No sync will cover what waits for one: its clients are rejected, its calls reported as not sent.
+  // For when no sync will cover the waiting batches: rejects their clients and reports their calls as not
+  // sent.
   void rejectWaiting();
 
  private:
-  // Batches are at least some milliseconds apart: these are more than a second's.
+  // Batches are at least some milliseconds apart, so this many take more than a second.
   static constexpr std::size_t kMaxWaitingBatches = 256;
 
   struct Batch {
-    std::uint64_t position = 0;  // of the journal, behind its last record
+    std::uint64_t position = 0;  // in the journal, after the batch's last record
     std::vector<RequestHandle> accepted;
     std::vector<PlannedCall> calls;
   };
@@ -79,13 +81,14 @@
   void rejectAccepted(const RequestHandle& handle);
   void makeCall(PlannedCall& call);
   using ItemPredicate = std::function<bool(const PlannedCall& call, const CallItem& item)>;
-  // Takes these out of the calls that wait and reports them as not sent; how many there were.
+  // Removes the affected items from the waiting calls and reports them as not sent. Returns their number.
   std::size_t reportUnsent(const ItemPredicate& affected);
-  // Looks again when the time of a call that waits is up.
-  void armExpiry();
+  // Sets the timer for the next waiting call whose time runs out.
+  void scheduleExpiry();
   void expireCalls();
-  // By when the last byte of a call with it must have left, on the loop's clock in ms, so that the endpoint
-  // still knows the key of an attempt that may have been executed; infinite: nothing binds it.
+  // Returns the loop's time in milliseconds by which the last byte of a call with that request must be sent,
+  // so that the endpoint still remembers the key of an attempt that may have been executed. Infinite if the
+  // request is not such a retry.
   double sendDeadlineMs(const OpenRequest& request) const;
 
   Parts parts_;
--- a/src/exchange/journal_compactor.cpp
+++ b/src/exchange/journal_compactor.cpp
@@ -3,7 +3,7 @@
 namespace myrtleloft {
 namespace {
 
-constexpr double kStepIntervalMs = 2;  // between two steps, where no batch comes sooner
+constexpr double kStepIntervalMs = 2;  // between two steps, unless a batch comes sooner
 
 }  // namespace
 
--- a/src/exchange/journal_compactor.h
+++ b/src/exchange/journal_compactor.h
@@ -1,7 +1,7 @@
-// Compacts the journal in steps: one with each batch and each sync, and by a timer in between while there is
-// something to compact, so that a full journal gets free without any traffic.
+// Compacts the journal in steps: one with each batch and each sync, and by a timer in between as long as
+// there is something to compact, so that a full journal frees its space even without traffic.
 //
-// One thread; a step costs what Journal::compactStep costs.
+// Single-threaded; a step costs as much as Journal::compactStep.
 #pragma once
 
 #include "counters/counters.h"
@@ -19,7 +19,8 @@
   };
   explicit JournalCompactor(const Parts& parts) : parts_(parts) {}
 
-  // One step, if there is something to compact. The step also records completions that could not be recorded.
+  // Makes one step if there is something to compact. The step also writes completion records that could not
+  // be written before.
   void step();
 
  private:
--- a/src/exchange/journaled_sends.cpp
+++ b/src/exchange/journaled_sends.cpp
@@ -6,9 +6,9 @@
 namespace myrtleloft {
 namespace {
 
-// What an item of a bulk call takes besides its id, key and body.
+// Size of an item of a bulk call without its id, key and body.
 constexpr std::size_t kItemFrameBytes = 40;
-// What JSON makes of one printable byte, at most.
+// Largest size of one printable byte after JSON escaping.
 constexpr std::size_t kMaxEscapedBytes = 2;
 constexpr double kMinTimeoutMs = 1;
 
@@ -37,7 +37,8 @@
 void JournaledSends::plan(const SendAction& send, std::vector<PlannedCall>& calls) {
   const OpenRequest* const request = parts_.requests.find(send.id);
   const EndpointRecord* const endpoint = parts_.endpoints.find(send.endpoint);
-  // Not accepted after all, or gone from the list. Unreported, its call slot would stay taken for good.
+  // The request was rejected after the decision, or the endpoint was removed from the list. The send must be
+  // reported, or its call slot would never be freed.
   if (request == nullptr || endpoint == nullptr)
     return parts_.unsent.reportUnrecorded(send.id, send.endpoint);
   const double leftMs =
@@ -65,7 +66,7 @@
     if (request.pending.ambiguousAttempts.empty()) request.firstAmbiguousMs = decidedMs;
     if (!parts_.journal.recordAttempt(request.pending, attempt)) {
       ++parts_.counters.journalFaults;
-      putOff({item.id, call.endpoint, attempt.zone, parts_.loop.nowMs() + item.capMs});
+      defer({item.id, call.endpoint, attempt.zone, parts_.loop.nowMs() + item.capMs});
       continue;
     }
     parts_.quotas.chargeCall(request.charge);
@@ -77,47 +78,47 @@
 }
 
 bool JournaledSends::cancel(const std::string& id) {
-  const auto send = findPutOff(id);
-  if (send == putOff_.end()) return false;
-  send->untilMs = 0;
+  const auto send = findDeferred(id);
+  if (send == deferred_.end()) return false;
+  send->expiresMs = 0;
   return true;
 }
 
 void JournaledSends::drop(const std::string& id) {
-  const auto send = findPutOff(id);
-  if (send == putOff_.end()) return;
+  const auto send = findDeferred(id);
+  if (send == deferred_.end()) return;
   const std::string endpoint = send->endpoint;
-  putOff_.erase(send);
+  deferred_.erase(send);
   parts_.unsent.reportUnrecorded(id, endpoint);
 }
 
-void JournaledSends::putOff(UnrecordedSend send) {
+void JournaledSends::defer(UnrecordedSend send) {
   const double nowMs = parts_.loop.nowMs();
-  const double lookMs = std::min(nowMs + parts_.journal.restMs(), send.untilMs);
-  putOff_.push_back(std::move(send));
-  if (timer_ != Loop::kNoTimer && timer_.first <= lookMs) return;
+  const double retryMs = std::min(nowMs + parts_.journal.restMs(), send.expiresMs);
+  deferred_.push_back(std::move(send));
+  if (timer_ != Loop::kNoTimer && timer_.first <= retryMs) return;
   parts_.loop.cancel(timer_);
-  timer_ = parts_.loop.after(lookMs - nowMs, [this] { retryRecords(); });
+  timer_ = parts_.loop.after(retryMs - nowMs, [this] { retryRecords(); });
 }
 
-// A send whose attempt can be recorded now does not leave all the same: the module chose its endpoint before
-// the fault of the disk, and chooses anew.
+// A send whose attempt can be recorded now is nevertheless reported as not sent: the module chose its
+// endpoint before the disk fault, and must choose again.
 void JournaledSends::retryRecords() {
   timer_ = Loop::kNoTimer;
-  for (UnrecordedSend& send : std::exchange(putOff_, {})) {
+  for (UnrecordedSend& send : std::exchange(deferred_, {})) {
     PendingRequest& pending = parts_.requests.at(send.id).pending;
-    if (send.untilMs <= parts_.loop.nowMs()) {
+    if (send.expiresMs <= parts_.loop.nowMs()) {
       parts_.unsent.reportUnrecorded(send.id, send.endpoint);
     } else if (parts_.journal.recordAttempt(pending, {send.endpoint, send.zone, parts_.journal.nowMs(), 0})) {
       parts_.unsent.reportRecorded(send.id, send.endpoint);
     } else {
-      putOff(std::move(send));
+      defer(std::move(send));
     }
   }
 }
 
-std::vector<JournaledSends::UnrecordedSend>::iterator JournaledSends::findPutOff(const std::string& id) {
-  return std::find_if(putOff_.begin(), putOff_.end(),
+std::vector<JournaledSends::UnrecordedSend>::iterator JournaledSends::findDeferred(const std::string& id) {
+  return std::find_if(deferred_.begin(), deferred_.end(),
                       [&](const UnrecordedSend& send) { return send.id == id; });
 }
 
--- a/src/exchange/journaled_sends.h
+++ b/src/exchange/journaled_sends.h
@@ -1,14 +1,15 @@
-// Turns the decision module's sends into calls, and records the attempt of each request in the journal before
-// its call's first byte: after a restart it must be known that the call may have been executed.
+// Groups the decision module's send actions into calls, and records each request's attempt in the journal
+// before the first byte of its call: after a restart it must be known that the call may have been executed.
 //
-//   for (PlannedCall& call : sends.record(actions, scheduler.batchMs())) ...   // to leave once durable
+//   for (PlannedCall& call : sends.record(actions, scheduler.batchMs())) ...   // sent once durable
 //
-// An attempt that the journal cannot record is put off, and keeps its call slot until it can be recorded, its
-// request is completed, its timeout has passed or, at the next look, the module has cancelled it. Reported at
-// once, the module would try again in each batch and use up the request's attempts within a moment of a fault
-// of the disk; reported after its timeout, the request would have its final status late.
+// An attempt that the journal cannot record is deferred. It keeps its call slot until it can be recorded, its
+// request is completed, its timeout has passed, or the module has cancelled it, which takes effect at the
+// next retry of the record. If it were reported as not sent at once, the module would try again in each batch
+// and use up the request's attempts during a short disk fault. If it were reported only after its timeout,
+// the request would get its final status too late.
 //
-// One thread; O(sends) plus a record of the journal for each.
+// Single-threaded; O(sends), plus one journal record for each.
 #pragma once
 
 #include <cstddef>
@@ -24,10 +25,10 @@
 
 namespace myrtleloft {
 
-// Sends of one batch that travel as one call.
+// Send actions of one batch that go out as one call.
 struct PlannedCall {
   std::string endpoint;
-  std::size_t bytes = 0;  // of its body, at most
+  std::size_t bytes = 0;  // upper bound of the size of its body
   std::vector<CallItem> items;
 };
 
@@ -46,13 +47,14 @@
   };
   explicit JournaledSends(const Parts& parts) : parts_(parts) {}
 
-  // The calls of one batch, decided at `decidedMs` on the loop's clock; their attempts are recorded. They
-  // keep the order of `sends`, and hold as many requests as the kind of the endpoint and kBodyLimit allow.
+  // Records the attempts of one batch, decided at `decidedMs` on the loop's clock, and returns its calls. The
+  // calls keep the order of `sends`, and carry as many requests as the endpoint's kind and kBodyLimit allow.
   std::vector<PlannedCall> record(const std::vector<const SendAction*>& sends, double decidedMs);
-  // The module cancels a send. false: none of that request is put off. It is reported with the others: at
-  // once, the next attempt would soon be cancelled too.
+  // Cancels the deferred send of that request, for the decision module. Returns false if there is none. It is
+  // reported as not sent at the next retry of the records; reported at once, it would make the module decide
+  // on another attempt that cannot be recorded either.
   bool cancel(const std::string& id);
-  // The request is completed, so that its send that is put off, if any, frees its call slot.
+  // Drops the deferred send of a completed request, if there is one, which frees its call slot.
   void drop(const std::string& id);
 
  private:
@@ -61,19 +63,20 @@
     std::string id;
     std::string endpoint;
     int zone = 0;
-    double untilMs = 0;
+    double expiresMs = 0;  // on the loop's clock
   };
 
   std::size_t batchSizeOf(int kind) const;
   void plan(const SendAction& send, std::vector<PlannedCall>& calls);
-  // Takes the requests out of the call whose attempts cannot be recorded.
+  // Records the attempts of the call's requests; those that cannot be recorded are deferred and removed from
+  // it.
   void recordAttempts(PlannedCall& call, double decidedMs);
-  void putOff(UnrecordedSend send);
+  void defer(UnrecordedSend send);
   void retryRecords();
-  std::vector<UnrecordedSend>::iterator findPutOff(const std::string& id);
+  std::vector<UnrecordedSend>::iterator findDeferred(const std::string& id);
 
   Parts parts_;
-  std::vector<UnrecordedSend> putOff_;
+  std::vector<UnrecordedSend> deferred_;
   Loop::Timer timer_ = Loop::kNoTimer;
 };
 
--- a/src/exchange/quota_charges.h
+++ b/src/exchange/quota_charges.h
@@ -1,10 +1,10 @@
-// What open requests are charged to their tenants' quotas, and what is refunded when it did not count.
+// Charges requests and calls to their tenants' quotas, and refunds those that do not count.
 //
 //   QuotaCharge charge = quotas.chargeFor(tenant, unit);
-//   if (const auto retryAfterMs = quotas.rejects(charge, classIndex)) ...   // nothing was charged
+//   if (const auto retryAfterMs = quotas.rejects(charge, classIndex)) ...   // reject the request
 //   quotas.chargeRequest(charge, classIndex);
 //
-// Without quotas each function does nothing. One thread; costs as QuotaDoor.
+// Without quotas the functions have no effect. Single-threaded; costs as QuotaDoor.
 #pragma once
 
 #include <optional>
@@ -15,33 +15,36 @@
 
 namespace myrtleloft {
 
-// The charges of one request. Only QuotaCharges reads and changes them.
+// The charges of one request, used only by QuotaCharges.
 class QuotaCharge {
   friend class QuotaCharges;
   static constexpr double kNotCharged = -1;
 
-  int node_ = QuotaDoor::kNoQuota;  // that it is charged to
-  double requestMs_ = 0;            // when the request was charged
-  double callMs_ = kNotCharged;     // when its latest call was, while that may be refunded
+  int node_ = QuotaDoor::kNoQuota;  // the quota node that is charged
+  double requestMs_ = 0;            // when the request was charged, on the loop's clock
+  double callMs_ = kNotCharged;     // when the latest call was charged, as long as it may be refunded
 };
 
 class QuotaCharges {
  public:
-  // Both must outlive it; without `quotas` there are no limits.
+  // Both must outlive this object. If `quotas` is null, there are no limits.
   QuotaCharges(const Loop& loop, QuotaDoor* quotas) : loop_(loop), quotas_(quotas) {}
 
-  // Nothing is charged yet, but it is known to which node it will be. `unit` may be empty.
+  // Returns the charge of a new request: its quota node is known, but nothing is charged yet. `unit` may be
+  // empty.
   QuotaCharge chargeFor(int tenant, std::string_view unit) const;
-  // When to come back, in ms, where a quota is used up.
+  // If a quota is used up, returns after how many milliseconds the client should retry; otherwise
+  // std::nullopt.
   std::optional<double> rejects(const QuotaCharge& charge, int classIndex) const;
   void chargeRequest(QuotaCharge& charge, int classIndex) const;
-  // The request was not accepted.
+  // Refunds a request that was not accepted.
   void refundRequest(const QuotaCharge& charge, int classIndex) const;
   void chargeCall(QuotaCharge& charge) const;
-  // The latest call did not count: it never left, or it is known not executed. At most one refund per call.
+  // Refunds the latest call, because it was never sent or is known not executed. Each call is refunded at
+  // most once.
   void refundCall(QuotaCharge& charge) const;
-  // The latest call counts, and cannot be refunded any more.
-  static void keepCall(QuotaCharge& charge) { charge.callMs_ = QuotaCharge::kNotCharged; }
+  // The latest call counts and can no longer be refunded.
+  static void confirmCall(QuotaCharge& charge) { charge.callMs_ = QuotaCharge::kNotCharged; }
 
  private:
   const Loop& loop_;
--- a/src/exchange/recovered.cpp
+++ b/src/exchange/recovered.cpp
@@ -5,10 +5,10 @@
 namespace myrtleloft {
 namespace {
 
-// Older than any idempotency window.
+// An age that exceeds any idempotency window.
 constexpr double kLongAgoMs = 1e12;
 
-// A recorded time lies in the future: the clock must have been set back.
+// A recorded time in the future shows that the wall clock was set back.
 bool wasSetBack(const WallClock& wall) { return wall.newestMs > wall.nowMs; }
 
 }  // namespace
@@ -32,16 +32,17 @@
   if (pending.ambiguousAttempts.empty() || !permission) return true;
   const ClassSettings& classNow = settings.classes[static_cast<std::size_t>(pending.classIndex)];
   if (permission->idempotency > classNow.idempotency) return false;
-  // Non-idempotent: the module retries nothing. Idempotent: it was so then too.
+  // If the class is non-idempotent now, the module retries nothing. If it is idempotent now, it was
+  // idempotent when the attempt was made, too.
   if (classNow.idempotency != Idempotency::kIdempotentWithKey) return true;
   if (permission->idempotency != Idempotency::kIdempotentWithKey) return !pending.key.empty();
   if (permission->deduplicationScope == DeduplicationScope::kZone &&
       classNow.deduplicationScope != DeduplicationScope::kZone)
     return false;
-  const double shorterMs = classNow.idempotencyWindowMs - permission->idempotencyWindowMs;
-  if (shorterMs <= 0) return true;
+  const double windowReductionMs = classNow.idempotencyWindowMs - permission->idempotencyWindowMs;
+  if (windowReductionMs <= 0) return true;
   if (wasSetBack(wall)) return false;
-  for (RecordedAttempt& attempt : pending.ambiguousAttempts) attempt.sentWallMs -= shorterMs;
+  for (RecordedAttempt& attempt : pending.ambiguousAttempts) attempt.sentWallMs -= windowReductionMs;
   return true;
 }
 
@@ -56,8 +57,8 @@
   event.isRetry = pending.isRetry;
   event.attempts = pending.attempts;
   for (const RecordedAttempt& attempt : pending.ambiguousAttempts) {
-    const double agoMs = wasSetBack(wall) ? kLongAgoMs : wall.nowMs - attempt.sentWallMs + wall.setBackMs;
-    event.ambiguousAttempts.push_back({attempt.zone, nowMs - agoMs});
+    const double ageMs = wasSetBack(wall) ? kLongAgoMs : wall.nowMs - attempt.sentWallMs + wall.setBackMs;
+    event.ambiguousAttempts.push_back({attempt.zone, nowMs - ageMs});
   }
   return event;
 }
--- a/src/exchange/reject_reason.h
+++ b/src/exchange/reject_reason.h
@@ -1,8 +1,8 @@
-// Why a request was rejected before it was accepted, as the log's event `request.rejected` states it.
+// Reasons for rejecting a request before its 202, as stated in the log event `request.rejected`.
 //
-//   trace.refused(id, wordOf(RejectReason::kFull), retryAfterMs);
+//   trace.rejected(id, nameOf(RejectReason::kFull), retryAfterMs);
 //
-// Constants only; safe for several threads; O(1).
+// Constants only; thread-safe; O(1).
 #pragma once
 
 #include <array>
@@ -12,23 +12,23 @@
 namespace myrtleloft {
 
 enum class RejectReason : std::uint8_t {
-  kDraining,            // the relay is about to end
-  kFull,                // as many requests as the settings allow are pending
-  kSyncBacklog,         // too much waits for one sync of the journal
-  kUnknownDestination,  // no endpoint list has named it
+  kDraining,            // the relay is draining
+  kFull,                // the limit on pending requests is reached
+  kSyncBacklog,         // too many batches wait for a sync of the journal
+  kUnknownDestination,  // no endpoint list has named its destination
   kStaleList,           // the endpoint list is too old for its class
   kQuota,               // a quota of its tenant is used up
   kNotRecorded,         // the journal could not record it
-  kFailed,              // the decision module gave it up, and it may have been executed
-  kDecided              // the decision module gave it up, and it surely was not executed
+  kFailed,              // the decision module gave it up; it may have been executed
+  kNotExecuted          // the decision module gave it up; it was certainly not executed
 };
 
-// The word in the log; operators search for it.
-inline const char* wordOf(RejectReason reason) {
-  constexpr std::array kWords = {"draining",   "full",  "sync-backlog", "unknown-destination",
+// Returns the reason's name in the log. Operators search for it, so it must not change.
+inline const char* nameOf(RejectReason reason) {
+  constexpr std::array kNames = {"draining",   "full",  "sync-backlog", "unknown-destination",
                                  "stale-list", "quota", "not-recorded", "failed",
                                  "returned"};
-  return kWords.at(static_cast<std::size_t>(reason));
+  return kNames.at(static_cast<std::size_t>(reason));
 }
 
 }  // namespace myrtleloft
--- a/src/exchange/request.h
+++ b/src/exchange/request.h
@@ -1,7 +1,7 @@
-// What the client side and the request manager say to each other. Nothing here knows of HTTP.
+// The interface between the HTTP server and the request manager; independent of HTTP.
 //
-// The client side hands a request over by RequestSink::onRequest and answers its client by what comes back
-// through the callback. Types only; one thread, that of the loop.
+// The server passes each request to RequestSink::onRequest and answers its client according to the Answer
+// that the callback receives. Types only; used on the loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +12,27 @@
 
 struct IncomingRequest {
   std::string id;
-  std::string key;  // idempotency key; empty: none
+  std::string key;  // idempotency key; empty if there is none
   std::string body;
-  std::string unit;  // the tenant's unit, by the operator's header; empty: not stated
+  std::string unit;  // the tenant's unit from the operator's quota header; empty if not stated
   int classIndex = 0;
   int tenant = 0;
   std::int64_t destination = 0;
-  double arrivedMs = 0;   // when its last byte came, on the loop's clock; it may have lain unread since
-  double timeLeftMs = 0;  // from then until its deadline
-  bool isRetry = false;   // the client says that it has sent it before
+  double arrivedMs = 0;   // when its last byte arrived, on the loop's clock; it may have been read later
+  double timeLeftMs = 0;  // time from `arrivedMs` until the deadline
+  bool isRetry = false;   // the client states that it has sent the request before
 };
 
 struct Answer {
   enum class Kind {
-    kAccepted,       // recorded: it will be delivered, or the platform is notified
-    kRejected,       // not accepted, nothing happened
-    kQuotaExceeded,  // likewise, for a quota
+    kAccepted,       // recorded: it will be delivered, or the platform will be notified
+    kRejected,       // not accepted and not executed
+    kQuotaExceeded,  // not accepted and not executed, because a quota is used up
     kFailed,         // not accepted, but it may have been executed
-    kMalformed       // it contradicts itself or another request of its id
+    kMalformed       // inconsistent in itself, or with another request of the same id
   };
   Kind kind = Kind::kAccepted;
-  double retryAfterMs = 0;  // of kRejected and kQuotaExceeded: when to come back; 0: no advice
+  double retryAfterMs = 0;  // kRejected, kQuotaExceeded: when the client should retry; 0 for no advice
 };
 
 class RequestSink {
@@ -40,9 +40,9 @@
   using AnswerCallback = std::function<void(const Answer&)>;
 
   virtual ~RequestSink() = default;
-  // `answer` is called once, at once or later, unless onClientDisconnect comes first.
-  virtual void onRequest(IncomingRequest request, AnswerCallback answer) = 0;
-  // The client of that request has gone. Unknown and answered ids are ignored.
+  // Calls `callback` exactly once, during this call or later, unless onClientDisconnect is called before.
+  virtual void onRequest(IncomingRequest request, AnswerCallback callback) = 0;
+  // The client of that request has disconnected. Ignored for unknown and for answered requests.
   virtual void onClientDisconnect(const std::string& id) = 0;
 };
 
--- a/src/exchange/request_manager.cpp
+++ b/src/exchange/request_manager.cpp
@@ -24,26 +24,26 @@
       quotas_(parts.loop, parts.quotas),
       requests_(parts.counters),
       scheduler_({parts.loop, parts.counters}, settings_,
-                 [this](const std::vector<Action>& actions) { carryOut(actions); }),
+                 [this](const std::vector<Action>& actions) { executeActions(actions); }),
       compactor_({parts.loop, parts.journal, parts.counters}),
       unsent_({parts.journal, requests_, quotas_, scheduler_}),
       sends_({parts.loop, settings_, parts.directory.endpoints(), parts.journal, parts.counters, requests_,
               quotas_, trace_, unsent_}),
       completions_({parts.loop, parts.journal, parts.notifications, parts.counters, requests_, quotas_,
                     guard_, trace_, sends_, compactor_}),
-      commit_({parts.loop, settings_, parts.directory.endpoints(), parts.journal, parts.outbound,
-               parts.counters, requests_, quotas_, trace_, scheduler_, unsent_, completions_}),
+      durabilityQueue_({parts.loop, settings_, parts.directory.endpoints(), parts.journal, parts.outbound,
+                        parts.counters, requests_, quotas_, trace_, scheduler_, unsent_, completions_}),
       admission_({parts.loop, settings_, parts.directory, parts.journal, parts.counters, requests_, quotas_,
-                  scheduler_, trace_, commit_}),
+                  scheduler_, trace_, durabilityQueue_}),
       calls_({parts.loop, settings_, parts.directory.endpoints(), parts.journal, parts.counters, requests_,
-              quotas_, scheduler_, guard_, trace_, completions_, commit_}),
+              quotas_, scheduler_, guard_, trace_, completions_, durabilityQueue_}),
       recovery_({parts.loop, settings_, parts.directory, parts.journal, parts.notifications, parts.counters,
                  requests_, quotas_, scheduler_, guard_, completions_}) {}
 
-void RequestManager::recover(Recovered found, EndpointListEvent known) {
-  // The list goes first: without it every endpoint of a request that may have been executed would look gone.
-  scheduler_.enqueue(std::move(known));
-  recovery_.recover(found.pending);
+void RequestManager::recover(Recovered recovered, EndpointListEvent initialList) {
+  // The list must come first: without it the endpoints of all ambiguous attempts would seem to be removed.
+  scheduler_.enqueue(std::move(initialList));
+  recovery_.recover(recovered.pending);
   scheduler_.run();
 }
 
@@ -52,35 +52,36 @@
   parts_.outbound.reconsider(parts_.directory.endpoints());
 }
 
-void RequestManager::onRequest(IncomingRequest request, AnswerCallback answer) {
-  admission_.onRequest(std::move(request), std::move(answer));
+void RequestManager::onRequest(IncomingRequest request, AnswerCallback callback) {
+  admission_.onRequest(std::move(request), std::move(callback));
 }
 
 void RequestManager::onClientDisconnect(const std::string& id) {
   const OpenRequest* const request = requests_.find(id);
-  if (request == nullptr || !request->answer) return;
-  if (request->isUndecided()) {  // else it is over already, and only not answered
+  if (request == nullptr || !request->answerCallback) return;
+  if (request->isUndecided()) {  // otherwise it is decided already, and only its answer is pending
     quotas_.refundRequest(request->charge, request->pending.classIndex);
     scheduler_.push(ClientDisconnectEvent{id});
   }
-  // Its call waits for the same sync. The module hears of it before it may see another request of that id.
-  commit_.cancelCall(id);
-  completions_.close(id);  // its client has no 202
+  // Its call waits for the same sync. The module is told of the disconnect before it can see another request
+  // with that id.
+  durabilityQueue_.cancelCall(id);
+  completions_.close(id);  // the client did not get a 202, so nothing was promised
 }
 
 void RequestManager::onSynced() {
   if (!parts_.journal.collect()) {
-    // Nothing that waited may be promised any more.
+    // A sync failed: nothing that waited for it may be promised.
     ++parts_.counters.journalFaults;
-    commit_.rejectWaiting();
+    durabilityQueue_.rejectWaiting();
   }
-  commit_.releaseDurable();
+  durabilityQueue_.releaseDurable();
   compactor_.step();
 }
 
 void RequestManager::drain() {
-  admission_.rejectNew();
-  commit_.withdrawCalls([](const std::string&) { return true; });
+  admission_.rejectNewRequests();
+  durabilityQueue_.withdrawCalls([](const std::string&) { return true; });
   scheduler_.stop();
 }
 
@@ -93,28 +94,30 @@
   }
 }
 
-void RequestManager::carryOut(const std::vector<Action>& actions) {
-  // What comes in from here on, by an answer that lets a client send its next request, is of the next batch.
-  const std::vector<RequestHandle> newRequests = admission_.takeNew();
+void RequestManager::executeActions(const std::vector<Action>& actions) {
+  // Requests that arrive during this function belong to the next batch: an answer given here may let a client
+  // send its next request.
+  const std::vector<RequestHandle> newRequests = admission_.takeNewRequests();
   std::vector<const SendAction*> sends;
   for (const Action& action : actions) {
     const auto* const send = std::get_if<SendAction>(&action);
     if (send != nullptr) {
       sends.push_back(send);
     } else {
-      carryOutUnlessSend(action);
+      executeUnlessSend(action);
     }
   }
   for (const RequestHandle& request : newRequests)
-    if (admission_.recordAccepted(request)) commit_.stageAccepted(request);
-  for (PlannedCall& call : sends_.record(sends, scheduler_.batchMs())) commit_.stageCall(std::move(call));
-  commit_.closeBatch();
+    if (admission_.recordAccepted(request)) durabilityQueue_.stageAccepted(request);
+  for (PlannedCall& call : sends_.record(sends, scheduler_.batchMs()))
+    durabilityQueue_.stageCall(std::move(call));
+  durabilityQueue_.closeBatch();
   parts_.journal.sync();
-  commit_.releaseDurable();
+  durabilityQueue_.releaseDurable();
   compactor_.step();
 }
 
-void RequestManager::carryOutUnlessSend(const Action& action) {
+void RequestManager::executeUnlessSend(const Action& action) {
   std::visit(
       Visitor{[](const SendAction&) {},
               [&](const RejectAction& reject) {
@@ -127,18 +130,18 @@
                                   [this, token = timer.token] { scheduler_.push(TimerEvent{token}); });
               },
               [](const WatchEndpointListAction&) {},      // the endpoint list is always watched
-              [](const CloseIdleConnectionsAction&) {}},  // no connection is idle: each carries one call
+              [](const CloseIdleConnectionsAction&) {}},  // there are none: each connection carries one call
       action);
 }
 
 void RequestManager::onUnsolicited(const std::string& uid) {
   log_.writeRateLimited(parts_.loop.nowMs(), LogLevel::kWarning, "answer.unsolicited",
-                        "bytes of endpoint " + uid + " that answer no call", {{"peer", uid}});
+                        "endpoint " + uid + " sent bytes that belong to no call", {{"peer", uid}});
 }
 
-// A call that still waits for the disk never left.
+// A call that still waits for the disk has not been sent; the upstream client gives up any other call.
 void RequestManager::cancel(const std::string& id) {
-  if (!commit_.cancelCall(id) && !sends_.cancel(id)) parts_.outbound.abandon(id);
+  if (!durabilityQueue_.cancelCall(id) && !sends_.cancel(id)) parts_.outbound.abandon(id);
 }
 
 }  // namespace myrtleloft
--- a/src/exchange/request_manager.h
+++ b/src/exchange/request_manager.h
@@ -1,24 +1,28 @@
-// Connects the client side, the decision module, the journal and the upstream side. It decides nothing: the
-// state is in the parts that it puts together.
+// Connects the HTTP server, the decision module, the journal and the upstream client. It makes no decisions
+// and keeps no state of its own; both are in its components:
 //
-//   RequestTable       the open requests
-//   Admission          which new requests come in          QuotaCharges      what they are charged
-//   BatchScheduler     when the decision module decides    JournaledSends    attempts recorded before calls
-//   DurabilityQueue        what waits for a sync               UnsentAttempts    attempts that never left
-//   CallTracker        calls in flight and their outcomes  Completions       completions that wait for the
-//   disk RequestRecovery    the pending requests of an earlier process JournalCompactor   the steps of
-//   compaction
+//   RequestTable      the open requests
+//   Admission         admits or rejects new requests
+//   QuotaCharges      charges them to their tenants' quotas
+//   BatchScheduler    collects events and runs the decision module
+//   JournaledSends    records attempts before their calls are sent
+//   DurabilityQueue   holds back calls and 202 answers until their records are durable
+//   UnsentAttempts    reports attempts that were never sent
+//   CallTracker       tracks calls in flight and their outcomes
+//   Completions       records completions and answers the client or notifies the platform
+//   RequestRecovery   takes over the pending requests of an earlier process
+//   JournalCompactor  compacts the journal in steps
 //
-// A request comes in by onRequest, is decided on in the next batch, recorded, and accepted when its record is
-// durable. Its attempts are recorded before their first byte, and it is forgotten when it has been delivered,
-// rejected, or the platform has confirmed its notification.
+// A request arrives by onRequest, is decided on in the next batch, recorded, and accepted once its record is
+// durable. Each attempt is recorded before its first byte is sent. The request is erased when it has been
+// delivered or rejected, or when the platform has confirmed its notification.
 //
 //   RequestManager manager({loop, directory, journal, notifications, outbound, counters}, settings);
 //   outbound.listen(manager);
 //   notifications.onConfirmed([&](const std::string& id) { manager.onConfirmed(id); });
 //   manager.recover(std::move(found), directory.begin(known, writtenWallMs));
 //
-// One thread, that of the loop; nothing throws, and nothing waits. Costs are those of the parts.
+// Single-threaded, on the loop's thread; no function throws or blocks. Costs are those of the components.
 #pragma once
 
 #include <optional>
@@ -33,7 +37,7 @@
 
 class RequestManager : public RequestSink, public CallListener {
  public:
-  // All must outlive it.
+  // All must outlive the request manager.
   struct Parts {
     Loop& loop;
     EndpointDirectory& directory;
@@ -41,41 +45,43 @@
     Notices& notifications;
     Outbound& outbound;
     Counters& counters;
-    QuotaDoor* quotas = nullptr;  // none: no limits but the module's
-    // For what the guard reports, and what became of each request; none: standard error.
+    QuotaDoor* quotas = nullptr;  // null if there are no quotas
+    // For rule violations and request traces; standard error if not set.
     std::optional<Log> log = std::nullopt;
   };
   RequestManager(const Parts& parts, const Settings& settings);
-  RequestManager(const RequestManager&) = delete;  // its parts refer to each other
+  RequestManager(const RequestManager&) = delete;  // its components refer to each other
   RequestManager& operator=(const RequestManager&) = delete;
 
-  // Hands the decision module the first endpoint list and all that an earlier process left pending, in one
-  // batch. Once, before anything else.
-  void recover(Recovered found, EndpointListEvent known);
+  // Passes the first endpoint list and the pending requests of an earlier process to the decision module, in
+  // one batch. Must be called once, before any other function.
+  void recover(Recovered recovered, EndpointListEvent initialList);
   void onList(EndpointListEvent event);
   // The platform has confirmed the notification of that request.
   void onConfirmed(const std::string& id) { completions_.onConfirmed(id); }
-  // The journal's syncer has something to collect.
+  // The journal's syncer has results to collect.
   void onSynced();
-  // From now on the module decides nothing more, and no call leaves: calls in flight are seen to their
-  // outcome, the rest stays in the journal.
+  // Stops the decision module, rejects the requests that wait for its next batch, and withdraws the calls
+  // that have not been sent. Calls in flight continue to their outcome; all other requests stay in the
+  // journal.
   void drain();
   // Whether no request is open.
   bool idle() const { return requests_.empty(); }
-  // No sync will cover what waits for one, or none in time: clients that wait for their 202 are rejected, and
-  // the journal has nothing pending of theirs; calls that wait are reported as not sent.
-  void rejectWaiting() { commit_.rejectWaiting(); }
-  // The process ends: clients whose rejection waits for its record are answered by what the next process will
-  // find: 202 where their request is still pending in the journal.
+  // For when no sync will cover the waiting batches in time: rejects the clients that wait for their 202, so
+  // that nothing of theirs is pending in the journal, and reports the waiting calls as not sent.
+  void rejectWaiting() { durabilityQueue_.rejectWaiting(); }
+  // For the end of the process: answers the clients whose rejection waits for its record according to what
+  // the next process will find, which is 202 if the request is still pending in the journal.
   void answerPendingRejections() { completions_.answerPendingRejections(); }
-  // `observer` sees the events of each batch just before the module decides; it changes nothing.
+  // `observer` is called with the events of each batch just before the module decides; it must not change
+  // anything.
   void observeBatches(BatchScheduler::Observer observer) { scheduler_.observe(std::move(observer)); }
-  // Answers the clients that still wait, for a process that ends here: `recorded` is what the journal would
-  // recover, and so accepted; the rest is rejected. At the level `group`, what no sync has covered stays
-  // unanswered.
+  // For the end of the process: answers the clients that still wait. Requests in `recorded`, which the
+  // journal would recover, are answered as accepted, all others as rejected. At the level `group`, requests
+  // whose records no sync has covered are not answered.
   void answerFromJournal(const PendingTable& recorded);
 
-  void onRequest(IncomingRequest request, AnswerCallback answer) override;
+  void onRequest(IncomingRequest request, AnswerCallback callback) override;
   void onClientDisconnect(const std::string& id) override;
   void onUnsolicited(const std::string& uid) override;
   bool mayLeave(const Departure& call) override { return calls_.mayLeave(call); }
@@ -85,12 +91,12 @@
   }
 
  private:
-  // The actions of one batch. Completions and cancelled calls come before anything is accepted or sent.
-  void carryOut(const std::vector<Action>& actions);
-  void carryOutUnlessSend(const Action& action);
+  // Executes the actions of one batch: completions and cancellations first, then acceptances and sends.
+  void executeActions(const std::vector<Action>& actions);
+  void executeUnlessSend(const Action& action);
   void cancel(const std::string& id);
 
-  // In the order in which they build on each other.
+  // In the order of construction: each refers only to those above it.
   Parts parts_;
   Settings settings_;
   Log log_;
@@ -103,7 +109,7 @@
   UnsentAttempts unsent_;
   JournaledSends sends_;
   Completions completions_;
-  DurabilityQueue commit_;
+  DurabilityQueue durabilityQueue_;
   Admission admission_;
   CallTracker calls_;
   RequestRecovery recovery_;
--- a/src/exchange/request_recovery.cpp
+++ b/src/exchange/request_recovery.cpp
@@ -5,28 +5,29 @@
 
 namespace myrtleloft {
 
-void RequestRecovery::recover(PendingTable& found) {
+void RequestRecovery::recover(PendingTable& pendingRequests) {
   const double nowMs = parts_.loop.nowMs();
-  const WallClock wall{parts_.journal.nowMs(), newestRecordedWallMs(found), parts_.directory.wallSetBackMs()};
-  found.take([&](RecoveredRequest request) { recover(std::move(request), wall, nowMs); });
+  const WallClock wall{parts_.journal.nowMs(), newestRecordedWallMs(pendingRequests),
+                       parts_.directory.wallSetBackMs()};
+  pendingRequests.take([&](RecoveredRequest request) { recover(std::move(request), wall, nowMs); });
 }
 
-void RequestRecovery::recover(RecoveredRequest found, const WallClock& wall, double nowMs) {
+void RequestRecovery::recover(RecoveredRequest recoveredRequest, const WallClock& wall, double nowMs) {
   ++parts_.counters.recovered;
-  OpenRequest& request = parts_.requests.add(found.pending.id, RequestPhase::kAccepted);
+  OpenRequest& request = parts_.requests.add(recoveredRequest.pending.id, RequestPhase::kAccepted);
   request.firstAmbiguousMs = nowMs;
-  request.pending = std::move(found.pending);
+  request.pending = std::move(recoveredRequest.pending);
   PendingRequest& pending = request.pending;
-  request.charge = parts_.quotas.chargeFor(pending.tenant, "");  // its unit is not recorded
+  request.charge = parts_.quotas.chargeFor(pending.tenant, "");  // the journal does not record its unit
   parts_.journal.attach(pending);
   parts_.guard.onRecovered(pending, wall.nowMs);
-  const WallClock clock = found.timesKnown ? WallClock{wall.nowMs, 0, 0} : wall;
+  const WallClock clock = recoveredRequest.timesKnown ? WallClock{wall.nowMs, 0, 0} : wall;
   request.deadlineMs = nowMs + pending.deadlineWallMs - clock.nowMs;
   if (pending.status != FinalStatus::kUndecided) {
-    parts_.requests.giveUp(request);  // the earlier process did
+    parts_.requests.giveUp(request);  // the earlier process gave it up
     return parts_.notifications.add(pending.id, pending.status, pending.retryAfterMs);
   }
-  if (!mayContinue(pending, found.permission, parts_.settings, clock)) {
+  if (!mayContinue(pending, recoveredRequest.permission, parts_.settings, clock)) {
     parts_.requests.giveUp(request);
     return parts_.completions.recordFinalStatus(request, FinalStatus::kFailed, 0);
   }
--- a/src/exchange/request_recovery.h
+++ b/src/exchange/request_recovery.h
@@ -1,8 +1,8 @@
-// A start with the requests that an earlier process left pending: each finds its place in the table and in
-// the journal, and goes to the decision module, to the platform's notifications, or fails because the
-// settings of now do not allow to send it.
+// Takes over the requests that an earlier process left pending: adds each to the request table, attaches it
+// to the journal, and then passes it to the decision module, notifies the platform of its final status again,
+// or completes it as failed because the current settings do not allow it to be sent.
 //
-// No state. One thread; O(requests * log requests), and a record of the journal for each that fails.
+// No state. Single-threaded; O(requests * log requests), plus one journal record for each request that fails.
 #pragma once
 
 #include "discovery/endpoint_directory.h"
@@ -28,12 +28,12 @@
   };
   explicit RequestRecovery(const Parts& parts) : parts_(parts) {}
 
-  // Empties `found`. The module gets its requests with the scheduler's next batch, after the endpoint list
-  // that must stand there already.
-  void recover(PendingTable& found);
+  // Takes over all requests and leaves `pendingRequests` empty. The decision module gets them with the
+  // scheduler's next batch, to which the endpoint list must have been added before.
+  void recover(PendingTable& pendingRequests);
 
  private:
-  void recover(RecoveredRequest found, const WallClock& wall, double nowMs);
+  void recover(RecoveredRequest recoveredRequest, const WallClock& wall, double nowMs);
 
   Parts parts_;
 };
--- a/src/exchange/request_table.h
+++ b/src/exchange/request_table.h
@@ -1,17 +1,19 @@
-// The open requests by id: those that are new, accepted or completed with something left to do.
+// The open requests by id: new ones, accepted ones, and completed ones whose answer or notification is
+// pending.
 //
-//   OpenRequest& request = table.add(id);
+//   OpenRequest& request = table.add(id, RequestPhase::kUnanswered);
 //   if (OpenRequest* request = table.find(id)) ...
 //   table.erase(id);
 //
-// A request stays where it is from `add` to `erase`, as the journal requires, which keeps a pointer to its
+// The address of a request does not change between `add` and `erase`: the journal keeps a pointer to its
 // PendingRequest.
 //
-// The table owns the phase of each request. Several parts may decide the same one: a sync that covers its
-// record or fails, the decision module, its client that leaves. The first takes its step by `accept`,
-// `reject` or `giveUp`; the others are told that it has been decided, and do nothing.
+// The table owns the phase of each request. Several components may decide the same request: a sync that
+// covers its record or fails, the decision module, or its client's disconnect. The first one changes the
+// phase by `accept`, `reject` or `giveUp`. For the others these functions return a value which says that the
+// request has been decided, and they must not act on it.
 //
-// One thread; O(log requests) each, O(1) for a step.
+// Single-threaded; O(log requests) for each look-up, O(1) for a change of phase.
 #pragma once
 
 #include <cstddef>
@@ -29,24 +31,24 @@
 
 namespace myrtleloft {
 
-// Advice of the relay's own to a rejected client, where the decision module was not consulted: the settings'
-// limit, a fault of the journal, a relay about to end.
+// Retry-After for clients that are rejected without consulting the decision module: at the limit on pending
+// requests, on a journal fault, or while the relay drains.
 inline constexpr double kRetryAfterMs = 1000;
 
-// A call is not waited for up to its request's deadline, and an answer that came later than this before it is
-// no delivery. By the client's clock the deadline is earlier, by the request's way to the relay; the time of
-// an arrival is known to 4 ms. A later answer would count as delivered here only, and its client would get no
-// notification.
+// Calls end this long before the deadline of their request, and an answer that arrives later does not count
+// as a delivery. By the client's clock the deadline is earlier, by the time that the request took to reach
+// the relay, and arrival times are known to 4 ms. If a later answer counted, only the relay would take the
+// request for delivered, and the client would get no notification.
 inline constexpr double kDeadlineMarginMs = 5;
 
 enum class RequestPhase : std::uint8_t {
-  kUnanswered,  // its client waits for its answer
-  kAccepted,    // its client has the 202
-  kRejected,    // given up before the 202: its client hears so once that is recorded
-  kGivenUp      // given up after the 202: the platform is notified
+  kUnanswered,  // the client waits for its answer
+  kAccepted,    // the client has its 202
+  kRejected,    // given up before the 202; the client is told once that is recorded
+  kGivenUp      // given up after the 202; the platform is notified
 };
 
-// One particular request: after it is closed, its id may come again with another.
+// Identifies one particular request: once it is closed, another request may have the same id.
 struct RequestHandle {
   std::string id;
   std::uint64_t number = 0;
@@ -54,26 +56,27 @@
 
 struct OpenRequest {
   PendingRequest pending;
-  RequestSink::AnswerCallback answer;  // until the client has its answer
-  double deadlineMs = 0;               // on the loop's clock: the wall clock may be set meanwhile
+  RequestSink::AnswerCallback answerCallback;  // empty once the client has its answer
+  double deadlineMs = 0;                       // on the loop's clock, as the wall clock may be set
   QuotaCharge charge;
-  // The call with it that may have left and has no outcome yet (Departure::number); 0: none.
+  // Number of the call (Departure::number) that carries the request, may have been sent and has no outcome
+  // yet; 0 if there is none.
   std::uint64_t callInFlight = 0;
-  double firstAmbiguousMs = 0;  // when the earliest of its ambiguous attempts, if any, was decided
+  double firstAmbiguousMs = 0;  // when the earliest ambiguous attempt, if any, was decided
 
-  // Answers the client unless it has its answer.
-  void answerClient(const Answer& text) {
-    if (const RequestSink::AnswerCallback callback = std::exchange(answer, nullptr)) callback(text);
+  // Answers the client unless it has been answered.
+  void answerClient(const Answer& answer) {
+    if (const RequestSink::AnswerCallback callback = std::exchange(answerCallback, nullptr)) callback(answer);
   }
   RequestHandle handle() const { return {pending.id, number_}; }
   RequestPhase phase() const { return phase_; }
-  // Whether the decision module has it and has not completed it.
+  // Whether the decision module has the request and has not completed it.
   bool isUndecided() const {
     return phase_ == RequestPhase::kUnanswered || phase_ == RequestPhase::kAccepted;
   }
 
  private:
-  friend class RequestTable;  // which alone changes these
+  friend class RequestTable;  // the only class that changes these members
   std::uint64_t number_ = 0;
   RequestPhase phase_ = RequestPhase::kUnanswered;
 };
@@ -82,21 +85,21 @@
  public:
   using Requests = std::map<std::string, OpenRequest, std::less<>>;
 
-  // `counters` must outlive it.
+  // `counters` must outlive the table.
   explicit RequestTable(Counters& counters) : counters_(counters) {}
 
   OpenRequest* find(const std::string& id) {
-    const auto at = requests_.find(id);
-    return at == requests_.end() ? nullptr : &at->second;
+    const auto found = requests_.find(id);
+    return found == requests_.end() ? nullptr : &found->second;
   }
-  // Nothing where it has been closed, even if another request has its id now.
+  // Returns nullptr if the request has been closed, even if another request has the same id now.
   OpenRequest* find(const RequestHandle& handle) {
     OpenRequest* const request = find(handle.id);
     return request != nullptr && request->number_ == handle.number ? request : nullptr;
   }
-  // Throws std::out_of_range unless it is open.
+  // Throws std::out_of_range if no request with that id is open.
   OpenRequest& at(const std::string& id) { return requests_.at(id); }
-  // A new request in that phase; its id must not be open.
+  // Adds a request in that phase. No request with that id may be open.
   OpenRequest& add(const std::string& id, RequestPhase phase) {
     OpenRequest& request = requests_[id];
     request.pending.id = id;
@@ -106,36 +109,37 @@
     return request;
   }
   void erase(const std::string& id) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end()) return;
-    undecided_ -= at->second.isUndecided() ? 1 : 0;
-    requests_.erase(at);
+    const auto found = requests_.find(id);
+    if (found == requests_.end()) return;
+    undecided_ -= found->second.isUndecided() ? 1 : 0;
+    requests_.erase(found);
   }
 
-  // kUnanswered -> kAccepted. false: it was decided before, and nothing changed.
+  // Changes the phase from kUnanswered to kAccepted. Returns false, without a change, if the request has been
+  // decided before.
   bool accept(OpenRequest& request) {
-    return step(request, request.phase_ == RequestPhase::kUnanswered, RequestPhase::kAccepted);
+    return changePhase(request, request.phase_ == RequestPhase::kUnanswered, RequestPhase::kAccepted);
   }
-  // kUnanswered -> kRejected. false: as above.
+  // Changes the phase from kUnanswered to kRejected; returns false as `accept` does.
   bool reject(OpenRequest& request) {
-    return step(request, request.phase_ == RequestPhase::kUnanswered, RequestPhase::kRejected);
+    return changePhase(request, request.phase_ == RequestPhase::kUnanswered, RequestPhase::kRejected);
   }
-  // kUnanswered -> kRejected, kAccepted -> kGivenUp; the phase that it has now. Nothing: it was decided
-  // before.
+  // Changes the phase from kUnanswered to kRejected, or from kAccepted to kGivenUp, and returns the new
+  // phase. Returns std::nullopt, without a change, if the request has been decided before.
   std::optional<RequestPhase> giveUp(OpenRequest& request) {
     const bool isAccepted = request.phase_ == RequestPhase::kAccepted;
     const RequestPhase next = isAccepted ? RequestPhase::kGivenUp : RequestPhase::kRejected;
-    return step(request, request.isUndecided(), next) ? std::optional(next) : std::nullopt;
+    return changePhase(request, request.isUndecided(), next) ? std::optional(next) : std::nullopt;
   }
   bool empty() const { return requests_.empty(); }
   Requests::iterator begin() { return requests_.begin(); }
   Requests::iterator end() { return requests_.end(); }
 
-  // How many of them the decision module has and has not completed.
+  // Number of requests that the decision module has and has not completed.
   std::size_t undecided() const { return undecided_; }
 
  private:
-  bool step(OpenRequest& request, bool isAllowed, RequestPhase next) {
+  bool changePhase(OpenRequest& request, bool isAllowed, RequestPhase next) {
     if (!isAllowed) {
       ++counters_.decidedBefore;
       return false;
--- a/src/exchange/rule_guard.cpp
+++ b/src/exchange/rule_guard.cpp
@@ -6,17 +6,17 @@
 namespace myrtleloft {
 namespace {
 
-// In the order of Violation; operators search the log for them.
-constexpr std::array<const char*, kViolations> kWords = {
+// In the order of Violation. Operators search the log for these names, so they must not change.
+constexpr std::array<const char*, kViolations> kNames = {
     "after-completion", "after-deadline",     "non-idempotent-repeated",
     "outside-window",   "outside-scope",      "hedged",
     "draining",         "before-retry-after", "rejected-after-attempt",
     "future-record"};
-constexpr double kClockToleranceMs = 1;  // two readings of one moment may differ by that
+constexpr double kClockToleranceMs = 1;  // two clock readings of the same moment may differ this much
 
 }  // namespace
 
-const char* wordOf(Violation violation) { return kWords.at(static_cast<std::size_t>(violation)); }
+const char* nameOf(Violation violation) { return kNames.at(static_cast<std::size_t>(violation)); }
 
 bool isFault(Violation violation) {
   return violation == Violation::kAfterCompletion || violation == Violation::kNonIdempotentRepeated ||
@@ -31,8 +31,9 @@
   const EndpointRecord* endpoint = facts.endpoint;
   if (!endpoint || endpoint->info.state != EndpointState::kRunning || endpoint->address.text != facts.address)
     return Violation::kDraining;
-  const auto wait = retryAfterUntilMs_.find(upstreamOf(*endpoint));
-  if (wait != retryAfterUntilMs_.end() && facts.nowMs < wait->second) return Violation::kBeforeRetryAfter;
+  const auto retryAfter = retryAfterUntilMs_.find(upstreamOf(*endpoint));
+  if (retryAfter != retryAfterUntilMs_.end() && facts.nowMs < retryAfter->second)
+    return Violation::kBeforeRetryAfter;
   return violationOfRetry(facts, settings_.classes.at(static_cast<std::size_t>(facts.pending.classIndex)));
 }
 
@@ -43,23 +44,23 @@
   if (requestClass.idempotency == Idempotency::kNonIdempotent) return Violation::kNonIdempotentRepeated;
   if (facts.nowMs > facts.firstAmbiguousMs + requestClass.idempotencyWindowMs)
     return Violation::kOutsideWindow;
-  const auto elsewhere = [&](const RecordedAttempt& attempt) {
+  const auto inAnotherZone = [&](const RecordedAttempt& attempt) {
     return attempt.zone != facts.endpoint->info.zone;
   };
   const bool leavesScope = requestClass.deduplicationScope == DeduplicationScope::kZone &&
-                           std::ranges::any_of(facts.pending.ambiguousAttempts, elsewhere);
+                           std::ranges::any_of(facts.pending.ambiguousAttempts, inAnotherZone);
   return leavesScope ? std::optional(Violation::kOutsideScope) : std::nullopt;
 }
 
 bool RuleGuard::mayReject(const PendingRequest& pending) const {
-  return pending.ambiguousAttempts.empty() || mayRunAgain(pending);
+  return pending.ambiguousAttempts.empty() || mayExecuteAgain(pending);
 }
 
 bool RuleGuard::mayNextProcessReject(const PendingRequest& pending) const {
-  return mayReject(pending) && (!pending.recordedAsAmbiguous || mayRunAgain(pending));
+  return mayReject(pending) && (!pending.recordedAsAmbiguous || mayExecuteAgain(pending));
 }
 
-bool RuleGuard::mayRunAgain(const PendingRequest& pending) const {
+bool RuleGuard::mayExecuteAgain(const PendingRequest& pending) const {
   const ClassSettings& requestClass = settings_.classes.at(static_cast<std::size_t>(pending.classIndex));
   return requestClass.idempotency == Idempotency::kIdempotent ||
          (requestClass.idempotency == Idempotency::kIdempotentWithKey &&
@@ -75,9 +76,9 @@
 }
 
 void RuleGuard::onRetryAfter(const EndpointRecord& endpoint, double nowMs, double retryAfterMs) {
-  std::erase_if(retryAfterUntilMs_, [nowMs](const auto& wait) { return wait.second <= nowMs; });
-  double& until = retryAfterUntilMs_[upstreamOf(endpoint)];
-  until = std::max(until, nowMs + retryAfterMs);
+  std::erase_if(retryAfterUntilMs_, [nowMs](const auto& entry) { return entry.second <= nowMs; });
+  double& untilMs = retryAfterUntilMs_[upstreamOf(endpoint)];
+  untilMs = std::max(untilMs, nowMs + retryAfterMs);
 }
 
 void RuleGuard::onRecovered(const PendingRequest& pending, double nowMs) {
@@ -89,8 +90,8 @@
   const LogLevel level = isFault(violation) ? LogLevel::kError : LogLevel::kWarning;
   log_.write(
       level, isFault(violation) ? "guard.violation" : "guard.withheld",
-      std::string(isFault(violation) ? "guard.violation " : "guard.withheld ") + wordOf(violation) + " " + id,
-      {{"rule", wordOf(violation)}, {"id", id}});
+      std::string(isFault(violation) ? "guard.violation " : "guard.withheld ") + nameOf(violation) + " " + id,
+      {{"rule", nameOf(violation)}, {"id", id}});
 }
 
 }  // namespace myrtleloft
--- a/src/exchange/unsent_attempts.cpp
+++ b/src/exchange/unsent_attempts.cpp
@@ -13,7 +13,7 @@
 void UnsentAttempts::reportUnrecorded(const std::string& id, const std::string& endpoint) {
   OpenRequest* const request = parts_.requests.find(id);
   if (request == nullptr) return push(id, endpoint, 0, true);
-  // The journal counts attempts with their records; this one has none.
+  // The journal counts an attempt when it records it; this one has no record and is counted here.
   const int attempt = request->pending.attempts++;
   push(id, endpoint, attempt, false);
 }
--- a/src/exchange/unsent_attempts.h
+++ b/src/exchange/unsent_attempts.h
@@ -1,7 +1,7 @@
-// Reports attempts that the decision module decided on and that never left: it has set a call slot aside for
-// each, which stays taken until it hears of an outcome.
+// Reports attempts that the decision module decided on and that were never sent. The module has reserved a
+// call slot for each, which stays occupied until an outcome is reported.
 //
-// No state of its own. One thread; O(log requests), and a record of the journal for one that was recorded.
+// Stateless. Single-threaded; O(log requests), plus one journal record for an attempt that was recorded.
 #pragma once
 
 #include <string>
@@ -22,10 +22,10 @@
   };
   explicit UnsentAttempts(const Parts& parts) : parts_(parts) {}
 
-  // The attempt was recorded, and the first byte of its call never written: it is recorded as not executed,
-  // and its call refunded. The request may be completed meanwhile.
+  // Reports an attempt that the journal has recorded: records it as not executed, and refunds its call. The
+  // request may have been completed meanwhile.
   void reportRecorded(const std::string& id, const std::string& endpoint);
-  // The journal does not know the attempt: it only counts as one.
+  // Reports an attempt that the journal has not recorded; it only counts towards the request's attempts.
   void reportUnrecorded(const std::string& id, const std::string& endpoint);
 
  private:
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -1,6 +1,6 @@
 #include "log/log.h"
 
-// Headers only: nothing to be there at run time.
+// The header-only form of fmt, which needs no shared library at run time.
 #define FMT_HEADER_ONLY
 #include <spdlog/logger.h>
 #include <spdlog/sinks/ostream_sink.h>
@@ -35,21 +35,21 @@
 std::string jsonText(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 Json jsonOf(const LogField::Value& value) {
-  return std::visit([](const auto& held) { return Json(held); }, value);
+  return std::visit([](const auto& alternative) { return Json(alternative); }, value);
 }
 
-// Quoted where a reader of key=value would stumble over it.
+// Quotes a text that a parser of key=value pairs would misread.
 std::string logfmtOf(const LogField::Value& value) {
   const auto* text = std::get_if<std::string>(&value);
   if (!text) return jsonText(jsonOf(value));
-  const bool plain =
+  const bool needsNoQuotes =
       !text->empty() && text->find_first_of(" =\"\\") == text->npos &&
       std::none_of(text->begin(), text->end(), [](unsigned char byte) { return byte < 0x21 || byte > 0x7e; });
-  return plain ? *text : jsonText(Json(*text));
+  return needsNoQuotes ? *text : jsonText(Json(*text));
 }
 
-// A line is a line: what came from outside must not begin another.
-std::string oneLine(std::string_view text) {
+// Replaces line breaks, so that text from outside cannot start a line of its own.
+std::string withoutLineBreaks(std::string_view text) {
   std::string line(text);
   for (char& byte : line)
     if (byte == '\n' || byte == '\r') byte = ' ';
@@ -61,54 +61,55 @@
 std::string asText(const LogField::Value& value) { return logfmtOf(value); }
 
 struct Log::Impl {
-  struct Said {
-    double atMs = -1e18;
-    std::uint64_t untold = 0;
+  // State of one rate-limited event.
+  struct RateLimitedLog {
+    double writtenMs = -1e18;      // when it was last written
+    std::uint64_t suppressed = 0;  // occurrences since then
   };
 
-  Impl(std::ostream& out, const LogOptions& chosen, const Clock& given)
-      : options(chosen),
-        clock(given),
+  Impl(std::ostream& out, const LogOptions& logOptions, const Clock& logClock)
+      : options(logOptions),
+        clock(logClock),
         logger("", std::make_shared<spdlog::sinks::ostream_sink_st>(out, true)) {
     switch (options.format) {
       case LogFormat::kPlain:
-        set("%v");
+        setPattern("%v");
         break;
       case LogFormat::kLogfmt:
-        set("time=%Y-%m-%dT%H:%M:%S.%eZ level=%l %v");
+        setPattern("time=%Y-%m-%dT%H:%M:%S.%eZ level=%l %v");
         break;
       case LogFormat::kJson:
-        set(R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})");
+        setPattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})");
     }
-    logger.set_level(levelOf(options.least));
+    logger.set_level(levelOf(options.minLevel));
   }
-  void set(std::string pattern) {
+  void setPattern(std::string pattern) {
     logger.set_formatter(
         std::make_unique<spdlog::pattern_formatter>(std::move(pattern), spdlog::pattern_time_type::utc));
   }
 
-  std::string lineOf(std::string_view event, std::string_view text, const Fields& fields) const {
-    if (options.format == LogFormat::kPlain) return oneLine(text);
+  std::string formatLine(std::string_view event, std::string_view text, const Fields& fields) const {
+    if (options.format == LogFormat::kPlain) return withoutLineBreaks(text);
     if (options.format == LogFormat::kLogfmt) {
       std::string line;
       if (!options.relay.empty()) line = "relay=" + logfmtOf(options.relay) + " ";
       line.append("event=").append(event);
       for (const LogField& field : fields) line += " " + field.name + "=" + logfmtOf(field.value);
-      return line + " msg=" + jsonText(Json(oneLine(text)));
+      return line + " msg=" + jsonText(Json(withoutLineBreaks(text)));
     }
     Json json;
     if (!options.relay.empty()) json["relay"] = options.relay;
     json["event"] = event;
     for (const LogField& field : fields) json[field.name] = jsonOf(field.value);
-    json["msg"] = oneLine(text);
+    json["msg"] = withoutLineBreaks(text);
     const std::string object = jsonText(json);
-    return object.substr(1, object.size() - 2);  // the pattern has the braces
+    return object.substr(1, object.size() - 2);  // the pattern contains the braces
   }
 
   LogOptions options;
   const Clock& clock;
   spdlog::logger logger;
-  std::map<std::string, Said, std::less<>> said;  // by event
+  std::map<std::string, RateLimitedLog, std::less<>> rateLimitedEvents;
 };
 
 Log::Log(std::ostream& out) {
@@ -126,25 +127,27 @@
   const auto ms = std::chrono::duration<double, std::milli>(impl_->clock.wallMs());
   const Wall::time_point when(std::chrono::duration_cast<Wall::duration>(ms));
   if (impl_->logger.should_log(levelOf(level)))
-    impl_->logger.log(when, spdlog::source_loc(), levelOf(level), impl_->lineOf(event, text, fields));
+    impl_->logger.log(when, spdlog::source_loc(), levelOf(level), impl_->formatLine(event, text, fields));
 }
 
 void Log::writeRateLimited(double nowMs, LogLevel level, std::string_view event, std::string_view text,
                            const Fields& fields) const {
-  Impl::Said& said = impl_->said.try_emplace(std::string(event)).first->second;
-  if (nowMs < said.atMs + impl_->options.againMs) {
-    ++said.untold;
+  Impl::RateLimitedLog& rateLimited = impl_->rateLimitedEvents.try_emplace(std::string(event)).first->second;
+  if (nowMs < rateLimited.writtenMs + impl_->options.repeatIntervalMs) {
+    ++rateLimited.suppressed;
     return;
   }
-  const std::uint64_t untold = std::exchange(said.untold, 0);
-  said.atMs = nowMs;
-  if (untold == 0) return write(level, event, text, fields);
-  Fields all = fields;
-  all.emplace_back("before", untold);
-  write(level, event, std::string(text) + " (and " + std::to_string(untold) + " before)", all);
+  const std::uint64_t suppressed = std::exchange(rateLimited.suppressed, 0);
+  rateLimited.writtenMs = nowMs;
+  if (suppressed == 0) return write(level, event, text, fields);
+  Fields allFields = fields;
+  allFields.emplace_back("before", suppressed);
+  write(level, event,
+        std::string(text) + " (" + std::to_string(suppressed) + " earlier occurrences suppressed)",
+        allFields);
 }
 
-void Log::pairs(std::string_view lines) const {
+void Log::writeCounters(std::string_view lines) const {
   std::istringstream text{std::string(lines)};
   for (std::string line; std::getline(text, line);) {
     const std::size_t colon = line.find(": ");
@@ -152,8 +155,8 @@
     for (char& byte : event)
       if (byte == ' ') byte = '.';
     Fields fields;
-    std::istringstream rest(colon == line.npos ? std::string() : line.substr(colon + 2));
-    for (std::string pair; rest >> pair;) {
+    std::istringstream pairs(colon == line.npos ? std::string() : line.substr(colon + 2));
+    for (std::string pair; pairs >> pair;) {
       const std::size_t equals = pair.find('=');
       if (equals == pair.npos) continue;
       const std::string value = pair.substr(equals + 1);
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,16 +1,16 @@
-// The relay's log: one event a line, each with a stable name and fields beside its text, on spdlog.
+// The relay's structured log, based on spdlog: one event per line, with a stable name, fields and a text.
 //
 //   Log log(std::cerr, {LogFormat::kLogfmt, LogLevel::kInfo, "n3"}, clock);
-//   log.write(LogLevel::kInfo, "list.initial", "discovery: beginning with the kept list, rev 41", {{"rev",
-//   41}}); log.repeated(nowMs, LogLevel::kError, "journal.fault", "journal: cannot write x: EIO", {{"file",
-//   "x"}});
+//   log.write(LogLevel::kInfo, "list.initial", "discovery: list of revision 41", {{"rev", 41}});
+//   log.writeRateLimited(nowMs, LogLevel::kError, "journal.fault", "journal: EIO", {{"file", "x"}});
 //
-//   plain    discovery: beginning with the kept list, rev 41
+//   plain    discovery: list of revision 41
 //   logfmt   time=2026-12-01T09:30:00.123Z level=info relay=n3 event=list.initial rev=41 msg="discovery: ..."
-//   json {"time":"2026-12-01T09:30:00.123Z","level":"info","relay":"n3","event":"list.initial","rev":41,...}
+//   json     {"time":"2026-12-01T09:30:00.123Z","level":"info","relay":"n3","event":"list.initial",...}
 //
-// No body and no idempotency key of a message is ever a field or in a text. A copy writes to the same place;
-// what was said of repeated events is shared. One thread. A line costs one write to the stream, flushed.
+// Bodies and idempotency keys of requests must never be logged. Copies of a Log write to the same stream and
+// share the state of rate-limited events. Single-threaded. Each line costs one write and one flush of the
+// stream.
 #pragma once
 
 #include <cstdint>
@@ -31,52 +31,54 @@
 
 struct LogOptions {
   LogFormat format = LogFormat::kPlain;
-  LogLevel least = LogLevel::kInfo;  // what is below is left out
-  std::string relay;                 // named in each line but the plain ones
-  double againMs = 1000;             // of a repeated event, at most one line in so long
+  LogLevel minLevel = LogLevel::kInfo;  // lines below this level are not written
+  std::string relay;                    // name of the relay, in each line except the plain ones
+  double repeatIntervalMs = 1000;       // a rate-limited event is written at most once in this time
 };
 
 struct LogField {
   using Value = std::variant<std::int64_t, double, bool, std::string>;
 
   template <typename T>
-  LogField(std::string_view fieldName, const T& given) : name(fieldName) {
+  LogField(std::string_view fieldName, const T& fieldValue) : name(fieldName) {
     if constexpr (std::is_same_v<T, bool>)
-      value = given;
+      value = fieldValue;
     else if constexpr (std::is_integral_v<T>)
-      value = static_cast<std::int64_t>(given);
+      value = static_cast<std::int64_t>(fieldValue);
     else if constexpr (std::is_floating_point_v<T>)
-      value = static_cast<double>(given);
+      value = static_cast<double>(fieldValue);
     else
-      value = std::string(given);
+      value = std::string(fieldValue);
   }
 
   std::string name;
   Value value;
 };
 
-// A value as the plain form shows it.
+// Returns the value in logfmt notation, quoted if necessary.
 std::string asText(const LogField::Value& value);
 
 class Log {
  public:
   using Fields = std::vector<LogField>;
 
-  // Plain, on the system's clock.
+  // A log in the plain format, on the system's clock.
   Log(std::ostream& out);  // NOLINT(google-explicit-constructor): a stream is a log
-  // `clock` outlives all copies.
+  // `clock` must outlive all copies.
   Log(std::ostream& out, const LogOptions& options, const Clock& clock);
 
-  // Whether lines of that level are written at all.
+  // Whether lines of that level are written.
   bool writes(LogLevel level) const;
-  // `event`: dotted, lower case, never changed once it is out; docs/operators/log.md lists them.
+  // `event` is a dotted lower-case name that must not change after a release; docs/operators/log.md lists
+  // them.
   void write(LogLevel level, std::string_view event, std::string_view text, const Fields& fields = {}) const;
-  // For what may come again at once: says it if it did not within the last `againMs`, and then how often it
-  // came since.
+  // For events that may recur rapidly: writes a line only if the event was not written within the last
+  // `repeatIntervalMs`. The line then states how many occurrences were suppressed since.
   void writeRateLimited(double nowMs, LogLevel level, std::string_view event, std::string_view text,
                         const Fields& fields = {}) const;
-  // Lines of "words: key=value ..."; the words become the event, the pairs its fields.
-  void pairs(std::string_view lines) const;
+  // Writes lines of the form "words: key=value ..." as events: the words become the event's name, the pairs
+  // its fields.
+  void writeCounters(std::string_view lines) const;
 
  private:
   struct Impl;
--- a/src/log/request_trace.cpp
+++ b/src/log/request_trace.cpp
@@ -8,11 +8,11 @@
   if (on_) write("request.received", id, {{"unread_ms", unreadMs}, {"left_ms", leftMs}});
 }
 
-void RequestTrace::taken(std::string_view id) const {
+void RequestTrace::accepted(std::string_view id) const {
   if (on_) write("request.accepted", id, {});
 }
 
-void RequestTrace::refused(std::string_view id, std::string_view reason, double waitMs) const {
+void RequestTrace::rejected(std::string_view id, std::string_view reason, double waitMs) const {
   if (on_) write("request.rejected", id, {{"reason", reason}, {"wait_ms", waitMs}});
 }
 
@@ -32,8 +32,8 @@
         {{"endpoint", endpoint}, {"outcome", outcome}, {"detail", detail}, {"given_up", givenUp}});
 }
 
-void RequestTrace::ended(std::string_view id, std::string_view status, double waitMs, bool recorded,
-                         double leftMs) const {
+void RequestTrace::completed(std::string_view id, std::string_view status, double waitMs, bool recorded,
+                             double leftMs) const {
   if (!on_) return;
   write("request.completed", id,
         {{"status", status}, {"wait_ms", waitMs}, {"recorded", recorded}, {"left_ms", leftMs}});
@@ -48,14 +48,14 @@
 }
 
 void RequestTrace::write(std::string_view event, std::string_view id, const Log::Fields& fields) const {
-  Log::Fields all = {{"id", id}};
+  Log::Fields allFields = {{"id", id}};
   std::string text(event);
   text.append(" id=").append(id);
   for (const LogField& field : fields) {
-    all.push_back(field);
+    allFields.push_back(field);
     text.append(" ").append(field.name).append("=").append(asText(field.value));
   }
-  log_.write(LogLevel::kDebug, event, text, all);
+  log_.write(LogLevel::kDebug, event, text, allFields);
 }
 
 }  // namespace myrtleloft
--- a/src/log/standard_error.cpp
+++ b/src/log/standard_error.cpp
@@ -22,19 +22,21 @@
 int StandardError::Buffer::sync() {
   if (text_.empty()) return 0;
   const std::string text = std::exchange(text_, {});
-  if (dropped_ > 0 && put("(" + std::to_string(dropped_) + " before were dropped: nobody read them)\n"))
+  if (dropped_ > 0 &&
+      put("(" + std::to_string(dropped_) + " earlier messages dropped: standard error was not read)\n"))
     dropped_ = 0;
   if (dropped_ > 0 || !put(text)) ++dropped_;
-  return 0;  // a stream in a failed state would stay silent for good
+  return 0;  // an error would set the stream's badbit, and nothing more would be written
 }
 
 namespace {
 
-constexpr int kTries = 8;
+constexpr int kPollAttempts = 8;
 
-// Whether a byte can be written at once. A poll that fails says nothing of who reads, and may work at once.
+// Whether a byte can be written without blocking. A poll that fails says nothing about the reader, so it is
+// tried again.
 bool writable(int fd) {
-  for (int i = 0; i < kTries; ++i) {
+  for (int i = 0; i < kPollAttempts; ++i) {
     pollfd ready{fd, POLLOUT, 0};
     const int count = ::poll(&ready, 1, 0);
     if (count >= 0) return count == 1 && (ready.revents & POLLOUT);
@@ -44,7 +46,7 @@
 
 }  // namespace
 
-// A pipe that polls as writable takes PIPE_BUF bytes without waiting.
+// A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
 bool StandardError::Buffer::put(const std::string& text) {
   for (std::size_t at = 0; at < text.size();) {
     if (!writable(fd_)) return false;
--- a/src/relay/relay_process_counters.cpp
+++ b/src/relay/relay_process_counters.cpp
@@ -1,4 +1,4 @@
-// The counters as a relay prints them at SIGUSR1 and at its end. Operators' tools read their names, which
+// Prints the counters of a relay, at SIGUSR1 and at its end. Operators' tools read their names, which
 // docs/operators/log.md lists.
 #include <cmath>
 #include <cstdint>
@@ -22,7 +22,7 @@
   printEndpointCounters(out);
   if (quotas_.on()) printQuotaCounters(out);
   if (fleet_) fleet_->print(out);
-  log_.pairs(out.str());
+  log_.writeCounters(out.str());
 }
 
 void RelayProcess::printTimeCounters(std::ostream& out) const {
