--- a/src/relay/component_options.cpp
+++ b/src/relay/component_options.cpp
@@ -12,22 +12,22 @@
 namespace myrtleloft {
 namespace {
 
-// Descriptors that neither clients nor calls get: the listener, the journal, discovery, the platform.
+// Descriptors reserved for the listener, the journal, discovery and the platform.
 constexpr int kReservedDescriptors = 48;
-// One in so many descriptors stays free, for what the system and its libraries open.
-constexpr int kSparePerSockets = 8;
+// The fraction 1/kSpareDescriptorDivisor of the descriptors stays free for the system and its libraries.
+constexpr int kSpareDescriptorDivisor = 8;
 constexpr int kMinClientConnections = 8;
 
-// One part in so many of the memory is for clients' requests that are not accepted yet, for the windows of
-// quotas, and for one answer of discovery; that takes some six times its size while it is read, with another
-// half read beside it. docs/bounds.md adds up the rest.
-constexpr std::size_t kRequestsPerMemory = 4;
-constexpr std::size_t kQuotasPerMemory = 8;
-constexpr std::size_t kListPerMemory = 48;
+// Fractions (1/divisor) of the memory for requests that are not accepted yet, for quota windows, and for one
+// endpoint list. A list takes about six times its size while it is parsed, and another one may be half
+// received at the same time. docs/bounds.md lists the other uses of memory.
+constexpr std::size_t kRequestMemoryDivisor = 4;
+constexpr std::size_t kQuotaMemoryDivisor = 8;
+constexpr std::size_t kListMemoryDivisor = 48;
 constexpr std::size_t kMaxListBytes = std::size_t{4} * 1024 * 1024;
 
-// The two files of the endpoint cache, the current one and its replacement, take a tenth of the disk.
-constexpr std::size_t kListPerDisk = 10;
+// The two files of the endpoint cache (the current one and its replacement) get a tenth of the disk.
+constexpr std::size_t kListDiskDivisor = 10;
 
 constexpr double kMsPerSecond = 1e3;
 
@@ -40,9 +40,9 @@
 
 std::size_t clientConnections(const Config& config) {
   const FleetPlan& fleet = config.operatorFile.fleet;
-  const int links = fleet.on ? fleetNeeds(fleet.peers.size(), config.memoryBytes).descriptors : 0;
-  const int remaining = config.sockets - kReservedDescriptors - links - config.sockets / kSparePerSockets -
-                        config.settings.maxConcurrentCalls;
+  const int fleetDescriptors = fleet.on ? fleetNeeds(fleet.peers.size(), config.memoryBytes).descriptors : 0;
+  const int remaining = config.sockets - kReservedDescriptors - fleetDescriptors -
+                        config.sockets / kSpareDescriptorDivisor - config.settings.maxConcurrentCalls;
   return static_cast<std::size_t>(std::max(remaining, kMinClientConnections));
 }
 
@@ -70,7 +70,7 @@
   EndpointDirectory::Options options;
   options.cacheEnabled = section.cache;
   options.cache.folder = config.stateFolder;
-  options.cache.maxBytes = config.diskBytes / kListPerDisk;
+  options.cache.maxBytes = config.diskBytes / kListDiskDivisor;
   options.cache.names = config.names;
   options.cache.salt = randomSalt();
   options.freshness = freshnessTuning(section);
@@ -85,7 +85,7 @@
   QuotaPlan plan = config.operatorFile.quota;
   if (plan.mostAwake == 0)
     plan.mostAwake =
-        static_cast<std::int64_t>(config.memoryBytes / kQuotasPerMemory / QuotaTree::kWindowBytes);
+        static_cast<std::int64_t>(config.memoryBytes / kQuotaMemoryDivisor / QuotaTree::kWindowBytes);
   return plan;
 }
 
@@ -107,14 +107,14 @@
     options.backoff.maxMs = static_cast<double>(*section.maxBackoffMs);
     options.backoff.firstMaxMs = 0;
     options.backoff.boundedByInterval =
-        false;  // the operator's value stands, whatever bound discovery states
+        false;  // the operator's value takes precedence over the interval stated by discovery
   }
   options.seed = config.settings.seed;
-  options.maxListBytes = std::min(config.memoryBytes / kListPerMemory, kMaxListBytes);
+  options.maxListBytes = std::min(config.memoryBytes / kListMemoryDivisor, kMaxListBytes);
   return options;
 }
 
-std::size_t requestBytes(const Config& config) { return config.memoryBytes / kRequestsPerMemory; }
+std::size_t requestBytes(const Config& config) { return config.memoryBytes / kRequestMemoryDivisor; }
 
 Fleet::Options fleetOptions(const Config& config) {
   Fleet::Options options;
--- a/src/relay/component_options.h
+++ b/src/relay/component_options.h
@@ -1,8 +1,9 @@
-// The configuration in the form that each component of the relay takes. What the platform grants (`limits`:
-// sockets, memory, disk) is divided among the components here; docs/architecture.md adds it up.
+// Converts the configuration into the options of each component of the relay. The resources that the platform
+// grants (`limits`: sockets, memory, disk) are divided among the components here; docs/architecture.md lists
+// the shares.
 //
-// Pure functions of the configuration, but for the random salts and seeds drawn anew at each call. Numbers of
-// connections and sizes in bytes are upper bounds.
+// Pure functions of the configuration, except that salts and seeds are drawn at random by each call. Numbers
+// of connections and sizes in bytes are upper bounds.
 #pragma once
 
 #include <cstddef>
@@ -18,16 +19,16 @@
 
 namespace myrtleloft {
 
-// Connections of clients; at least 8.
+// Returns the maximum number of client connections, at least 8.
 std::size_t clientConnections(const Config& config);
-// Memory for requests of clients that are not accepted yet.
+// Returns the memory limit in bytes for requests that are being received or wait to be accepted.
 std::size_t requestBytes(const Config& config);
 JournalOptions journalOptions(const Config& config);
 LogOptions logOptions(const Config& config);
 EndpointDirectory::Options endpointDirectoryOptions(const Config& config);
-// The operator's quotas, with a bound on the windows in use where the operator sets none.
+// Returns the operator's quotas, with a default limit on the windows in use if the operator sets none.
 QuotaPlan quotaPlan(const Config& config);
-// By class.
+// Returns the priority weight of each class, by class index.
 std::vector<double> priorityWeights(const Config& config);
 DiscoveryClient::Options discoveryOptions(const Config& config);
 Fleet::Options fleetOptions(const Config& config);
--- a/src/relay/freshness_options.h
+++ b/src/relay/freshness_options.h
@@ -1,5 +1,5 @@
-// The operator's rules on the age of the endpoint list, in the form that discovery/freshness.h takes. Used by
-// the relay and by the command-line tools for the list. O(classes named in the section).
+// Converts the operator's rules for the age of the endpoint list into the options of discovery/freshness.h.
+// Used by the relay and by the command-line tools for the endpoint list. O(classes named in the section).
 #pragma once
 
 #include "config/operator_file.h"
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -15,19 +15,19 @@
 namespace myrtleloft {
 namespace {
 
-constexpr int kOutOfMemoryPauseMs = 20;  // before a relay without memory starts again
+constexpr int kOutOfMemoryPauseMs = 20;  // before a relay that ran out of memory restarts
 constexpr int kExitStopped = 0;
 constexpr int kExitCannotStart = 1;
 
-// Waits that long, or until a signal ends the relay; whether one did. The relay has blocked its signals:
-// those that end it are consumed here, others stay pending until the next attempt to start.
-bool stoppedWithin(double waitMs) {
+// Waits for a signal that stops the relay; returns false if none arrives in that time. The relay's signals
+// are blocked: this consumes a stop signal, and all others stay pending until the next attempt to start.
+bool waitForStopSignal(double timeoutMs) {
   sigset_t stopSignals;
   sigemptyset(&stopSignals);
   sigaddset(&stopSignals, SIGTERM);
   sigaddset(&stopSignals, SIGINT);
-  const timespec wait{0, static_cast<long>(waitMs * 1e6)};
-  return ::sigtimedwait(&stopSignals, nullptr, &wait) > 0;
+  const timespec timeout{0, static_cast<long>(timeoutMs * 1e6)};
+  return ::sigtimedwait(&stopSignals, nullptr, &timeout) > 0;
 }
 
 }  // namespace
@@ -67,9 +67,9 @@
     }
     try {
       if (process_) process_->abandon();
-    } catch (const std::bad_alloc&) {  // no memory even for that: clients find their connections closed
+    } catch (const std::bad_alloc&) {  // no memory even for that: the connections are closed unanswered
     }
-    process_.reset();  // releases the folder, the address and the memory
+    process_.reset();  // releases the folder lock, the address and the memory
     ::poll(nullptr, 0, kOutOfMemoryPauseMs);
   }
 }
@@ -89,11 +89,11 @@
       return kExitCannotStart;
     }
     if (firstAttempt) process_->logRetry(*failure);
-    if (stoppedWithin(kStartupRetryIntervalMs)) {
+    if (waitForStopSignal(kStartupRetryIntervalMs)) {
       process_->stop();
       return kExitStopped;
     }
-    process_.reset();  // releases the folder and the address
+    process_.reset();  // releases the folder lock and the address
   }
 }
 
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -8,12 +8,12 @@
 namespace myrtleloft {
 namespace {
 
-// How long connections stay open between requests, from when the signal was read. New clients come for up to
-// 0.4 s after SIGTERM.
+// How long idle connections stay open after the stop signal was read: new clients may connect for up to 0.4 s
+// after SIGTERM.
 constexpr double kCloseConnectionsMs = 450;
-// Since the process was told to end. SIGKILL follows after 3.7 s.
-constexpr double kStopSendingMs = 2600;  // from then on nothing more is sent
-constexpr double kDrainLimitMs = 3300;   // what is in flight then is left to the journal
+// Times since the stop signal. The platform sends SIGKILL after 3.7 s.
+constexpr double kStopSendingMs = 2600;  // from then on no call is sent
+constexpr double kDrainLimitMs = 3300;   // the process ends; requests in flight stay in the journal
 constexpr double kDrainCheckMs = 25;
 
 const char* nameOf(Relay::Phase phase) {
@@ -66,8 +66,8 @@
 
 std::optional<StartupFailure> RelayProcess::start() {
   enter(Phase::kStarting);
-  if (!takeSignals())
-    return StartupFailure{"signals cannot be taken: " + std::string(std::strerror(errno)), errno};
+  if (!setUpSignals())
+    return StartupFailure{"cannot set up signal handling: " + std::string(std::strerror(errno)), errno};
   StartupFailure failure;
   if (!server_.open(config_.listen, failure.text, &failure.errorNumber)) return failure;
   return recover();
@@ -90,7 +90,7 @@
   printCounters();
 }
 
-// Until then requests are rejected, and pending ones are given up when they are due.
+// Until the journal is writable, new requests are rejected and pending ones are given up at their deadlines.
 void RelayProcess::awaitWritableJournal() {
   if (phase_ != Phase::kServing) return;
   if (journal_.writable()) return server_.setReady(true);
@@ -111,27 +111,26 @@
 
 void RelayProcess::drain() { drainSince(loop_.nowMs()); }
 
-void RelayProcess::drainSince(double notifiedAtMs) {
+void RelayProcess::drainSince(double signalledMs) {
   if (phase_ != Phase::kServing) return;
   enter(Phase::kDraining);
   server_.setReady(false);
-  drainStartMs_ = notifiedAtMs;
+  drainStartMs_ = signalledMs;
   loop_.after(kCloseConnectionsMs, [this] { server_.retire(); });
   loop_.after(drainStartMs_ + kStopSendingMs - loop_.nowMs(), [this] { requests_.drain(); });
   loop_.after(kCloseConnectionsMs + kDrainCheckMs, [this] { checkDrained(); });
 }
 
 void RelayProcess::abandon() {
-  reserve_.reset();
-  log_.write(LogLevel::kError, "relay.memory",
-             config_.name + ": out of memory; starting anew from the journal");
+  memoryReserve_.reset();
+  log_.write(LogLevel::kError, "relay.memory", config_.name + ": out of memory; restarting from the journal");
   if (auto recorded = myrtleloft::recover(files_, config_.stateFolder))
     requests_.answerFromJournal(recorded->pending);
 }
 
-std::unique_ptr<ThreadSyncer> RelayProcess::makeSyncer(bool wanted) {
+std::unique_ptr<ThreadSyncer> RelayProcess::makeSyncer(bool isNeeded) {
   const bool group = config_.operatorFile.journal.durability == Durability::kGroup;
-  return group && wanted ? std::make_unique<ThreadSyncer>(files_, config_.stateFolder) : nullptr;
+  return group && isNeeded ? std::make_unique<ThreadSyncer>(files_, config_.stateFolder) : nullptr;
 }
 
 void RelayProcess::enter(Phase phase) {
@@ -143,14 +142,14 @@
 std::optional<StartupFailure> RelayProcess::recover() {
   enter(Phase::kRecovering);
   if ((journalSyncer_ && journalSyncer_->fd() < 0) || (cacheSyncer_ && cacheSyncer_->fd() < 0))
-    return StartupFailure{"no descriptor for a helper thread of the disk", EMFILE};
+    return StartupFailure{"no file descriptor for a disk sync thread", EMFILE};
   if (journalSyncer_) loop_.watch(journalSyncer_->fd(), POLLIN, [this](short) { requests_.onSynced(); });
   if (cacheSyncer_) loop_.watch(cacheSyncer_->fd(), POLLIN, [this](short) { discovery_.onSynced(); });
   Result<Recovered, JournalError> opened = journal_.open();
   if (!opened) return StartupFailure{opened.error().message, opened.error().cause.number};
   Recovered& recovered = *opened;
   log_.write(LogLevel::kInfo, "relay.pending",
-             config_.name + ": " + std::to_string(recovered.pending.size()) + " requests owed from before",
+             config_.name + ": " + std::to_string(recovered.pending.size()) + " pending requests recovered",
              {{"pending", recovered.pending.size()}});
   requests_.recover(std::move(recovered), endpointDirectory_.begin(config_.known, config_.writtenWallMs));
   discovery_.start([this](EndpointListEvent event) { requests_.onList(std::move(event)); });
@@ -171,8 +170,8 @@
   return std::nullopt;
 }
 
-// A connected client may be sending, waiting for its answer or reading it. The end of the process would reset
-// its connection, so the process stays for it as long as there is time.
+// A connected client may be sending a request, waiting for its answer or reading it. Ending the process would
+// reset its connection, so the process keeps running for it until the drain limit.
 void RelayProcess::checkDrained() {
   const double elapsedMs = loop_.nowMs() - drainStartMs_;
   const bool nothingInFlight =
--- a/src/relay/relay_process.h
+++ b/src/relay/relay_process.h
@@ -1,24 +1,25 @@
-// The components of one relay, connected, and the phases they go through.
+// Connects the components of one relay and runs them through the phases of its process.
 //
 //   RelayProcess process(config, log, dependencies, StartupLogging::kAll);
 //   if (const std::optional<StartupFailure> failure = process.start()) ...   // destroy it, try again later
 //   process.serve(false);                                                     // returns once it has stopped
 //
-// `Relay` (myrtleloft/relay.h) owns one at a time, and replaces it after a failed start or a failed
-// allocation; the configuration outlives it. Phases:
+// `Relay` (myrtleloft/relay.h) owns one RelayProcess at a time, and replaces it after a failed start or a
+// failed allocation; the configuration outlives it. Phases:
 //
-//   starting     `start` has taken the signals and opened the address; clients wait in the kernel's queue
-//   recovering   reads the journal, hands its pending requests to the request manager, starts discovery and
-//   the fleet serving      `serve` runs the loop; ready for clients once the journal can be written draining
-//   not ready any more; after 0.45 s connections close between requests; after 2.6 s nothing more is
-//                sent; stops once no client is connected and nothing is in flight, at the latest after 3.3 s,
-//                when what remains is left to the journal
-//   stopped      the loop has ended; the destructor releases folder, address and memory
+//   starting    `start` has set up the signals and opened the address; clients wait in the listen backlog
+//   recovering  reads the journal, passes the pending requests to the request manager, starts discovery and
+//               the fleet
+//   serving     `serve` runs the loop; ready for clients once the journal is writable
+//   draining    not ready for clients; idle connections close after 0.45 s, and no call is sent after 2.6 s.
+//               Stops once no client is connected and nothing is in flight, at the latest after 3.3 s;
+//               requests that remain stay in the journal
+//   stopped     the loop has ended; the destructor releases the folder lock, the address and the memory
 //
-// Signals, taken from `start` on: SIGTERM and SIGINT drain, SIGHUP reads the configuration again, in any
-// phase (pending requests of a draining relay must reach a new address too), SIGUSR1 prints the counters.
-// SIGPIPE is ignored. One thread; handlers run on the loop and neither wait nor throw, but for
-// std::bad_alloc, which ends `serve`.
+// Signals are handled from `start` on: SIGTERM and SIGINT drain, SIGUSR1 prints the counters, and SIGHUP
+// reloads the configuration in any phase, because pending requests of a draining relay must reach a new
+// address, too. SIGPIPE is ignored. Single-threaded; handlers run on the loop and neither block nor throw,
+// except std::bad_alloc, which ends `serve`.
 #pragma once
 
 #include <cstddef>
@@ -45,31 +46,32 @@
 
 namespace myrtleloft {
 
-// What a start writes to the log. A retry repeats neither its phases nor the reason that was already given.
+// What a start writes to the log. A retry logs neither its phases nor the reason for the first failure again.
 enum class StartupLogging { kAll, kFinalOnly };
 
 class RelayProcess {
  public:
   using Phase = Relay::Phase;
 
-  // `config` and `log` must outlive it.
+  // `config` and `log` must outlive the process.
   RelayProcess(LiveConfig& config, std::ostream& log, const RelayDependencies& dependencies,
                StartupLogging startupLogging);
 
-  // Takes the signals, opens the address, recovers the pending requests. After a failure the object can only
-  // be destroyed, once the failure has been logged.
+  // Sets up the signals, opens the address and recovers the pending requests. After a failure, the only valid
+  // operations are logging it and destroying the object.
   std::optional<StartupFailure> start();
-  // Serves until it has stopped; `start` must have succeeded. `drainAtOnce`: its predecessor was draining.
+  // Runs until the relay has stopped; `start` must have succeeded. `drainAtOnce` is set if the previous
+  // RelayProcess was draining.
   void serve(bool drainAtOnce);
-  // Logs why the start is retried.
+  // Logs why the start is going to be retried.
   void logRetry(const StartupFailure& failure) const;
   // Logs why the start is given up, and enters kStopped.
   void stopAfterFailure(const StartupFailure& failure);
-  // Enters kStopped; a signal ended the relay before it had started.
+  // Enters kStopped, after a signal has stopped the relay before it had started.
   void stop() { enter(Phase::kStopped); }
   void drain();
-  // After a failed allocation: what this object has in memory may be inconsistent, the journal is not.
-  // Answers the clients that wait by what the journal says of their requests. Throws std::bad_alloc.
+  // To be called after a failed allocation, when this object's memory may be inconsistent but the journal is
+  // not: answers the waiting clients according to the journal. Throws std::bad_alloc.
   void abandon();
   Phase phase() const { return phase_; }
   bool hasServed() const { return phase_ == Phase::kServing || phase_ == Phase::kDraining; }
@@ -78,20 +80,22 @@
  private:
   static constexpr std::size_t kReserveBytes = std::size_t{256} * 1024;
 
-  // None at the durability `process`, or if it is not wanted.
-  std::unique_ptr<ThreadSyncer> makeSyncer(bool wanted);
+  // Returns nullptr at the durability level `process`, or if no syncer is needed.
+  std::unique_ptr<ThreadSyncer> makeSyncer(bool isNeeded);
   void enter(Phase phase);
   std::optional<StartupFailure> recover();
   std::optional<StartupFailure> startFleet();
-  // Becomes ready for clients as soon as accepted requests can be recorded.
+  // Accepts clients as soon as the journal is writable.
   void awaitWritableJournal();
-  // Stops once the drain is complete or out of time; looks again otherwise.
+  // Stops if the drain is complete or its time limit has passed; otherwise checks again later.
   void checkDrained();
-  // `notifiedAtMs`: when it was told to, on the loop's clock; nothing where it does not serve.
-  void drainSince(double notifiedAtMs);
-  bool takeSignals();
+  // Starts the drain if the relay serves. `signalledMs`: when it was asked to, on the loop's clock.
+  void drainSince(double signalledMs);
+  // Blocks the signals and watches them through a descriptor. Returns false and sets errno on failure.
+  bool setUpSignals();
   void onSignal();
-  double signalledAtMs() const;
+  // Returns the earliest time at which the stop signal can have arrived, on the loop's clock.
+  double signalTimeMs() const;
   void reload();
   void printTimeCounters(std::ostream& out) const;
   void printJournalCounters(std::ostream& out) const;
@@ -109,7 +113,7 @@
   Fd signals_;
   PosixFiles posixFiles_;
   Files& files_;
-  // Two, as the journal and the endpoint cache must not wait for each other.
+  // Separate syncers, so that the journal and the endpoint cache do not wait for each other.
   std::unique_ptr<ThreadSyncer> journalSyncer_;
   std::unique_ptr<ThreadSyncer> cacheSyncer_;
   Journal journal_;
@@ -121,12 +125,12 @@
   RequestManager requests_;
   RequestTrace trace_;
   Inbound server_;
-  std::unique_ptr<Fleet> fleet_;  // none without a section [fleet]
+  std::unique_ptr<Fleet> fleet_;  // null without a section [fleet]
   Phase phase_ = Phase::kStarting;
   bool logsPhases_ = true;
-  double drainStartMs_ = 0;  // when it was told to end, at the earliest; by the loop's clock
-  // Released by `abandon`, so that it has memory to work with.
-  std::unique_ptr<char[]> reserve_ = std::make_unique<char[]>(kReserveBytes);
+  double drainStartMs_ = 0;  // the earliest possible arrival of the stop signal, on the loop's clock
+  // Memory that `abandon` releases so that it has some to work with.
+  std::unique_ptr<char[]> memoryReserve_ = std::make_unique<char[]>(kReserveBytes);
 };
 
 }  // namespace myrtleloft
--- a/src/relay/relay_process_signals.cpp
+++ b/src/relay/relay_process_signals.cpp
@@ -1,4 +1,4 @@
-// How a relay answers signals: it drains, reads its configuration again, prints its counters.
+// Signal handling of a relay: drain, reload of the configuration, printing of the counters.
 #include <sys/signalfd.h>
 #include <unistd.h>
 
@@ -27,8 +27,8 @@
   return ::pthread_sigmask(SIG_BLOCK, &handled, nullptr) == 0;
 }
 
-bool RelayProcess::takeSignals() {
-  std::signal(SIGPIPE, SIG_IGN);  // the log's reader may go away and another one come
+bool RelayProcess::setUpSignals() {
+  std::signal(SIGPIPE, SIG_IGN);  // the log may be a pipe whose reader is replaced
   if (!blockRelaySignals()) return false;
   const sigset_t handled = handledSignals();
   signals_ = Fd(::signalfd(-1, &handled, SFD_NONBLOCK | SFD_CLOEXEC));
@@ -48,14 +48,14 @@
         reload();
         break;
       default:
-        drainSince(signalledAtMs());
+        drainSince(signalTimeMs());
     }
   }
 }
 
-// The signal may have lain unread while the process stood still: it came no earlier than the last poll began
-// that saw none.
-double RelayProcess::signalledAtMs() const {
+// If the process was suspended, the signal may have been pending for a while. It arrived no earlier than the
+// start of the last poll that reported none.
+double RelayProcess::signalTimeMs() const {
   const double quietAtMs = loop_.quietAtMs(signals_.get());
   return quietAtMs == Loop::kNeverMs ? loop_.nowMs() : quietAtMs;
 }
@@ -67,17 +67,18 @@
     const std::string fault = error->what();
     ++counters_.reloadFaults;
     log_.write(LogLevel::kError, "config.rejected",
-               config_.name + ": the configuration stays as it was: " + fault, {{"fault", fault}});
+               config_.name + ": configuration rejected, the previous one stays in effect: " + fault,
+               {{"fault", fault}});
     return;
   }
   ++counters_.reloads;
   log_.write(LogLevel::kInfo, "config.reloaded",
-             config_.name + ": configuration read again, discovery at " + config_.discovery.text,
+             config_.name + ": configuration reloaded, discovery at " + config_.discovery.text,
              {{"discovery", config_.discovery.text}});
   if (!liveConfig_.keyNeedingRestart().empty())
     log_.write(LogLevel::kWarning, "config.restart-needed",
                config_.name + ": " + liveConfig_.keyNeedingRestart() +
-                   " is not as it was: needs a restart, all running settings stay as they are",
+                   " has changed: needs a restart, all running settings stay in effect",
                {{"key", liveConfig_.keyNeedingRestart()}});
   if (fleet_ && config_.operatorFile.fleet.peers != peersBefore)
     fleet_->setPeers(config_.operatorFile.fleet.peers);
--- a/src/relay/startup_retry.cpp
+++ b/src/relay/startup_retry.cpp
@@ -23,7 +23,7 @@
     case EADDRNOTAVAIL:
       return kTransientLimitMs;
     case EADDRINUSE:
-    case EWOULDBLOCK:  // another process has locked the folder
+    case EWOULDBLOCK:  // another process holds the folder lock
       return kInUseLimitMs;
     default:
       return 0;
--- a/tests/integration/crowded_clients_test.cpp
+++ b/tests/integration/crowded_clients_test.cpp
@@ -108,7 +108,7 @@
     REQUIRE(answer("down", " 503 "));
     CHECK(client->has("Retry-After: "));
     site.relay->signal(SIGHUP);
-    REQUIRE(until([&] { return site.logHas("configuration read again"); }));
+    REQUIRE(until([&] { return site.logHas("configuration reloaded"); }));
     site.directory.become(Directory::Mode::kUp);
     REQUIRE(until([&] { return site.directory.heard(); }));
     REQUIRE(answer("up", " 202 "));
--- a/tests/integration/early_signals_test.cpp
+++ b/tests/integration/early_signals_test.cpp
@@ -77,7 +77,7 @@
   ReadingProgram reading;
   reading.program.signal(SIGHUP);
   reading.giveConfig();
-  CHECK(reading.logs("configuration read again"));
+  CHECK(reading.logs("configuration reloaded"));
   int code = 0;
   CHECK_FALSE(reading.program.ended(code));
 }
--- a/tests/integration/restart_sync_points_test.cpp
+++ b/tests/integration/restart_sync_points_test.cpp
@@ -62,7 +62,7 @@
     const std::size_t from = site.relay->log().size();
     startAgain();
     return site.until([&] { return site.relay->log().find(": serving", from) != std::string::npos; }) &&
-           site.relay->log().find(": 0 requests owed from before", from) != std::string::npos;
+           site.relay->log().find(": 0 pending requests recovered", from) != std::string::npos;
   }
   // Whether it was delivered or its notice came.
   bool over() const {
@@ -206,7 +206,7 @@
   const std::size_t from = site.relay->log().size();
   site.relay->start();
   REQUIRE(site.until([&] { return site.relay->log().find(": serving", from) != std::string::npos; }));
-  CHECK(site.relay->log().find(": 0 requests owed from before", from) != std::string::npos);
+  CHECK(site.relay->log().find(": 0 pending requests recovered", from) != std::string::npos);
   CHECK(site.endpoint.calls.empty());
 }
 
--- a/tests/relay/settings_change_test.cpp
+++ b/tests/relay/settings_change_test.cpp
@@ -1,5 +1,5 @@
-// The real relay, started again on the same folder with other settings: classes, tenants and zones are
-// matched by name, nothing of a former deployment is sent, and a request that may have been executed is
+// Restarts the real relay on the same state folder with other settings: classes, tenants and zones are
+// matched by name, no request of another deployment is sent, and a request that may have been executed is
 // retried only if the settings of both starts allow it.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -22,7 +22,8 @@
   scenario.until("both are in flight", [&] { return scenario.calls() == 2; });
   scenario.relay->kill();
   scenario.norte.release();
-  scenario.start(scenario.config(reorderedClasses()));  // its number, 2, is an idempotent class now
+  scenario.start(
+      scenario.config(reorderedClasses()));  // number 2, its class before, is now an idempotent class
   scenario.until("the non-idempotent one is given up",
                  [&] { return scenario.attemptedOrGivenUp("once", 2); });
   CHECK(scenario.callsOf("once") == 1);
@@ -41,7 +42,7 @@
   scenario.submit("c", "billing-charge");
   scenario.relay->kill();
   CHECK(scenario.callsOf("c") == 0);
-  // Without an endpoint list there is no attempt between the two.
+  // Without an endpoint list the second process makes no attempt.
   std::filesystem::remove(scenario.folder / "state" / "members");
   scenario.directory.tell({});
   scenario.start(scenario.config(reorderedClasses()));
@@ -49,7 +50,7 @@
   CHECK(scenario.calls() == kCallSlots);
   scenario.norte.release();
   scenario.announce({&scenario.norte});
-  scenario.start(scenario.config(settings({{std::string(kStatus) + ",", ""}})));  // two classes remain
+  scenario.start(scenario.config(settings({{std::string(kStatus) + ",", ""}})));  // only two classes are left
   for (const char* id : {"o", "c"}) {
     scenario.until("it is sent", [&] { return scenario.attemptedOrGivenUp(id, 1); });
     CHECK(scenario.callsOf(id) == 1);
@@ -71,7 +72,7 @@
   scenario.submit("c", "billing-charge", "liceo-puerto");
   scenario.relay->kill();
   scenario.norte.release();
-  // As many classes, all idempotent, and as many tenants: each number means something.
+  // The same numbers of classes, all idempotent, and of tenants: each recorded number is valid here as well.
   scenario.start(scenario.config(settings({{"status-update", "scan"},
                                            {"caption-order", "index"},
                                            {"billing-charge", "mail"},
@@ -98,7 +99,7 @@
   scenario.until("it is retried or given up", [&] { return scenario.attemptedOrGivenUp("once", 2); });
   CHECK(scenario.callsOf("once") == 1);
   CHECK(scenario.directory.notices().count("once") == 1);
-  scenario.submit("new", "billing-charge");  // the new meaning applies from now on
+  scenario.submit("new", "billing-charge");  // new requests follow the new settings
   scenario.until("a new one is sent", [&] { return scenario.callsOf("new") == 1; });
 }
 
--- a/tests/relay/settings_reload_test.cpp
+++ b/tests/relay/settings_reload_test.cpp
@@ -1,4 +1,5 @@
-// The real relay reads other settings, or faulty ones, at SIGHUP: discovery moves, all else stays as it was.
+// Reloads the real relay's configuration by SIGHUP, with changed or faulty settings: only the discovery
+// address changes at run time.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -15,24 +16,24 @@
   scenario.announce({&scenario.norte});
   second.tell({scenario.norte.entry()});
   scenario.start(scenario.config(kSiteSettings));
-  std::string moved = scenario.config(settings({{"billing-charge", "mail"}}), "\"unknown\": 1,");
-  replaceAll(moved, scenario.directory.address(), second.address());
-  scenario.reload(moved);
+  std::string changed = scenario.config(settings({{"billing-charge", "mail"}}), "\"unknown\": 1,");
+  replaceAll(changed, scenario.directory.address(), second.address());
+  scenario.reload(changed);
   scenario.until("discovery has moved", [&] {
     second.turn();
     return second.heard();
   });
-  CHECK(scenario.logged("configuration read again, discovery at " + second.address()));
+  CHECK(scenario.logged("configuration reloaded, discovery at " + second.address()));
   CHECK(scenario.logged("settings.classes[2].name (line 2, column "));
-  CHECK(scenario.logged("is not as it was: needs a restart, all running settings stay as they are"));
+  CHECK(scenario.logged("has changed: needs a restart, all running settings stay in effect"));
   scenario.submit("c", "billing-charge");
   scenario.until("the former class is sent", [&] { return scenario.callsOf("c") == 1; });
 
-  // Keys that describe the moment are no difference; with the former settings, no restart is needed.
+  // With the former settings no restart is needed: `known` and `seed` may differ at every start.
   const std::string before = scenario.relay->log();
-  std::string moment = scenario.config(kSiteSettings, R"("known":{"rev":1,"all":true,"targets":[]},)");
-  replaceAll(moment, R"("seed":"5")", R"("seed":"77")");
-  scenario.reload(moment);
+  std::string withNewSeed = scenario.config(kSiteSettings, R"("known":{"rev":1,"all":true,"targets":[]},)");
+  replaceAll(withNewSeed, R"("seed":"5")", R"("seed":"77")");
+  scenario.reload(withNewSeed);
   scenario.until("the file is read", [&] {
     second.turn();
     return scenario.relay->log().find("discovery at " + scenario.directory.address(), before.size()) !=
@@ -63,8 +64,9 @@
     REQUIRE(text.find(fault.from) != std::string::npos);
     replaceAll(text, fault.from, fault.replacement);
     scenario.reload(text);
-    scenario.until("the fault is logged",
-                   [&] { return scenario.logged("the configuration stays as it was: " + fault.logText); });
+    scenario.until("the fault is logged", [&] {
+      return scenario.logged("configuration rejected, the previous one stays in effect: " + fault.logText);
+    });
     scenario.submit("c" + std::to_string(fault.logText.size()), "billing-charge");
   }
   scenario.until("all are sent", [&] { return scenario.calls() == faults.size(); });
--- a/tests/relay/settings_scenario.h
+++ b/tests/relay/settings_scenario.h
@@ -1,6 +1,6 @@
-// A real relay between a client, a directory and two endpoints in two zones, whose settings change from one
-// start to the next, or by SIGHUP. No step depends on timing: an endpoint that delays its answer leaves an
-// attempt in flight, its record shows that it has arrived, and only then comes the signal.
+// A real relay process with a client, a discovery directory and two endpoints in two zones. Its settings
+// change between two starts, or by SIGHUP. No step depends on timing: an endpoint that holds back its answer
+// keeps an attempt in flight, and the test sends a signal only after the endpoint has received the call.
 //
 //   SettingsScenario scenario;
 //   scenario.announce({&scenario.norte});
@@ -34,17 +34,17 @@
                                        R"("worth":1.0,"lateWorth":0.5,"repeat":"repeatable","group":"all",)"
                                        R"("memorySpanMs":5000.0})";
 
-// kSiteSettings with the parts replaced; each must occur in it.
-inline std::string settings(const std::vector<std::pair<std::string, std::string>>& parts) {
+// Returns kSiteSettings with each pair's first text replaced by its second; the first must occur in it.
+inline std::string settings(const std::vector<std::pair<std::string, std::string>>& replacements) {
   std::string text = kSiteSettings;
-  for (const auto& [what, with] : parts) {
-    REQUIRE(text.find(what) != std::string::npos);
-    replaceAll(text, what, with);
+  for (const auto& [from, to] : replacements) {
+    REQUIRE(text.find(from) != std::string::npos);
+    replaceAll(text, from, to);
   }
   return text;
 }
 
-// The same classes, the first one last, so that each has another number.
+// Returns kSiteSettings with the first class moved to the end, so that each class has another number.
 inline std::string reorderedClasses() {
   return settings({{std::string(kStatus) + ",", ""}, {"}]}", std::string("},") + kStatus + "]}"}});
 }
@@ -81,19 +81,20 @@
     }
     directory.tell(list);
   }
-  void until(const char* what, const std::function<bool()>& done) {
+  // Runs the hub until `done` holds; fails the test after kTimeoutMs.
+  void until(const char* condition, const std::function<bool()>& done) {
     const bool happened = hub.run(
         [&] {
           directory.turn();
           return done();
         },
         kTimeoutMs);
-    INFO(std::string(what) << ", calls " << calls() << ", notices " << directory.notices().size() << "\n"
-                           << (relay ? relay->log() : ""));
+    INFO(std::string(condition) << ", calls " << calls() << ", notices " << directory.notices().size() << "\n"
+                                << (relay ? relay->log() : ""));
     REQUIRE(happened);
   }
   bool logged(const std::string& text) const { return relay->log().find(text) != std::string::npos; }
-  // The request is accepted, or the test fails.
+  // Sends a request; fails the test unless it is accepted.
   void submit(const std::string& id, const std::string& cls, const std::string& tenant = "univ-costa") {
     std::string answer;
     const Hub::Id client = hub.connect(
