--- a/tests/exchange/bulk_call_test.cpp
+++ b/tests/exchange/bulk_call_test.cpp
@@ -1,4 +1,4 @@
-// Calls that carry several requests.
+// Bulk calls, which carry several requests.
 #include <doctest/doctest.h>
 
 #include <algorithm>
--- a/tests/exchange/decided_once_test.cpp
+++ b/tests/exchange/decided_once_test.cpp
@@ -1,5 +1,5 @@
-// A request is decided once, whichever of its deciders comes first: the sync of its journal record, the
-// decision module, its client's disconnect, the end of the process. Manual clocks, a disk in memory.
+// A request is decided exactly once, whichever comes first: the sync of its journal record, the decision
+// module, its client's disconnect, or the end of the process. Uses manual clocks and an in-memory disk.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -11,8 +11,9 @@
 using namespace myrtleloft;
 using namespace myrtleloft::testing;
 
-// Guards against a 202 for a request that the journal has as completed: nobody owes it any more. A record
-// that fails later makes the journal rest beyond the first retry of the rejections, and not up to the next.
+// Guards against a 202 for a request that the journal has recorded as completed, so that no process delivers
+// it. The requests "later-N" cause a later disk fault: the journal's pause after it ends between the first
+// and the second retry of the rejections.
 TEST_CASE("process ends: whoever is answered 202 is pending in the journal") {
   int recordedUnanswered = 0;
   for (int endMs = 0; endMs <= 400; endMs += 20) {
@@ -43,24 +44,25 @@
 constexpr std::array<RequestPhase, 4> kPhases = {RequestPhase::kUnanswered, RequestPhase::kAccepted,
                                                  RequestPhase::kRejected, RequestPhase::kGivenUp};
 
-// What a step does to a request in one phase: the phase after it, and whether it was the one that decided.
-struct Cell {
+// Expected result of a transition in one phase: the phase after it, and whether it decided the request.
+struct ExpectedResult {
   RequestPhase after;
   bool decides;
 };
-using Step = bool (*)(RequestTable&, OpenRequest&);
+using Transition = bool (*)(RequestTable&, OpenRequest&);
 
-void checkStep(Step step, const std::array<Cell, 4>& cells) {
+// Applies the transition to a request in each of kPhases.
+void checkTransition(Transition transition, const std::array<ExpectedResult, 4>& expected) {
   for (std::size_t i = 0; i < kPhases.size(); ++i) {
     Counters counters;
     RequestTable table(counters);
     OpenRequest& request = table.add("m", kPhases[i]);
     CAPTURE(i);
-    CHECK(step(table, request) == cells[i].decides);
-    CHECK(request.phase() == cells[i].after);
-    CHECK(counters.decidedBefore == (cells[i].decides ? 0 : 1));
+    CHECK(transition(table, request) == expected[i].decides);
+    CHECK(request.phase() == expected[i].after);
+    CHECK(counters.decidedBefore == (expected[i].decides ? 0 : 1));
     CHECK(table.undecided() == (request.isUndecided() ? 1 : 0));
-    CHECK_FALSE(step(table, request));  // no step is made twice
+    CHECK_FALSE(transition(table, request));  // it has no effect a second time
     CHECK(table.undecided() == (request.isUndecided() ? 1 : 0));
     table.erase("m");
     CHECK(table.undecided() == 0);
@@ -71,19 +73,20 @@
 
 }  // namespace
 
-// Guards against two parts that both decide a request: each cell of phases and steps.
+// Guards against two components that both decide a request. Covers all combinations of phase and transition.
 TEST_CASE("a step is made once, by the first part that decides") {
   using enum RequestPhase;
   SUBCASE("the sync covers its record") {
-    checkStep([](RequestTable& table, OpenRequest& request) { return table.accept(request); },
-              {{{kAccepted, true}, {kAccepted, false}, {kRejected, false}, {kGivenUp, false}}});
+    checkTransition([](RequestTable& table, OpenRequest& request) { return table.accept(request); },
+                    {{{kAccepted, true}, {kAccepted, false}, {kRejected, false}, {kGivenUp, false}}});
   }
   SUBCASE("the sync fails") {
-    checkStep([](RequestTable& table, OpenRequest& request) { return table.reject(request); },
-              {{{kRejected, true}, {kAccepted, false}, {kRejected, false}, {kGivenUp, false}}});
+    checkTransition([](RequestTable& table, OpenRequest& request) { return table.reject(request); },
+                    {{{kRejected, true}, {kAccepted, false}, {kRejected, false}, {kGivenUp, false}}});
   }
   SUBCASE("the decision module gives it up") {
-    checkStep([](RequestTable& table, OpenRequest& request) { return table.giveUp(request).has_value(); },
-              {{{kRejected, true}, {kGivenUp, true}, {kRejected, false}, {kGivenUp, false}}});
+    checkTransition(
+        [](RequestTable& table, OpenRequest& request) { return table.giveUp(request).has_value(); },
+        {{{kRejected, true}, {kGivenUp, true}, {kRejected, false}, {kGivenUp, false}}});
   }
 }
--- a/tests/exchange/durability_queue_test.cpp
+++ b/tests/exchange/durability_queue_test.cpp
@@ -1,5 +1,5 @@
-// What waits for a sync that is still out: manual clocks, a disk in memory, real sockets that nobody waits
-// for.
+// Calls and 202 answers that wait for a running sync. Uses manual clocks, an in-memory disk and real sockets
+// without blocking.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -18,7 +18,7 @@
     site.advance(10);
     REQUIRE(!site.syncer.jobs.empty());
     if (drains) site.setEndpointState(EndpointState::kDraining);
-    for (int i = 0; i < 3; ++i) {  // the first covers what was written before
+    for (int i = 0; i < 3; ++i) {  // the first sync covers only the records written before the request
       site.syncer.work();
       site.manager->onSynced();
     }
@@ -83,7 +83,7 @@
   site.submit("first");
   site.advance(10);
   REQUIRE(!site.syncer.jobs.empty());
-  // Each client gives up after 400 ms and is followed by others: nothing of this may pile up.
+  // Each client disconnects and is replaced by another one; the waiting requests must not grow without bound.
   for (int i = 0; i < 2000; ++i) {
     site.submit("m" + std::to_string(i));
     site.advance(5);
--- a/tests/exchange/exchange_site.h
+++ b/tests/exchange/exchange_site.h
@@ -1,7 +1,7 @@
-// A request manager with all that it connects, on manual clocks, a disk in memory, and real sockets that
-// nobody waits for.
+// A request manager with the components that it connects, on manual clocks, an in-memory disk and real
+// sockets without blocking.
 //
-//   Site site(true);          // at the level `group`: syncs when `site.syncer.work()` is called
+//   Site site(true);          // durability level `group`: syncs run when `site.syncer.work()` is called
 //   site.submit("m");
 //   site.advance(10);         // in steps of 5 ms
 #pragma once
@@ -28,7 +28,8 @@
 
 class Site {
  public:
-  // With separate limits: one endpoint with a limit of its own; else two that share their destination's.
+  // With separate limits there is one endpoint, with a limit of its own; otherwise two endpoints share the
+  // limit of their destination.
   explicit Site(bool group = false, int batchSize = 1, int callSlots = 1, bool separateLimits = true,
                 const QuotaPlan& plan = {}, const std::function<void(Settings&)>& change = {})
       : syncer(files), quotas(plan, {"univ"}, {1, 2, 5}, {counters, log}), separateLimits_(separateLimits) {
@@ -74,7 +75,7 @@
       lastRetryAfterMs = answer.retryAfterMs;
     });
   }
-  // In steps of 5 ms; nothing is waited for.
+  // Advances the clock in steps of 5 ms and runs the loop without blocking.
   void advance(double ms) {
     for (const double until = clock.nowMs + ms; clock.nowMs < until;) {
       clock.nowMs += 5;
@@ -82,7 +83,7 @@
       loop.runOnce();
     }
   }
-  // What the next process would find pending.
+  // Whether the next process would find the request pending.
   bool isPendingOnDisk(const std::string& id) {
     const auto found = recover(files, "/s");
     return found && found->pending.find(id) != nullptr;
@@ -101,7 +102,7 @@
   Counters counters;
   std::ostringstream log;
   EndpointDirectory directory{{files, clock, share, counters, log}, directoryOptions()};
-  Address platform = *parseAddress("127.0.0.1:9");  // not there: notifications stay
+  Address platform = *parseAddress("127.0.0.1:9");  // nothing listens there: notifications stay pending
   Notices notifications{loop, platform, counters, log};
   Outbound outbound{loop, counters, {1500, {}}};
   QuotaDoor quotas;
--- a/tests/exchange/fake_surroundings.cpp
+++ b/tests/exchange/fake_surroundings.cpp
@@ -100,7 +100,7 @@
     reportBroken("a call to " + endpoint.uid + " before its Retry-After is over");
 }
 
-// Connections with a call on them that the relay has not given up.
+// Returns the number of connections with a call that the relay has not given up.
 std::size_t FakeSurroundings::callsInFlight() {
   std::erase_if(inFlight_, [this](Hub::Id id) { return !hub.open(id) || hub.gone(id); });
   return inFlight_.size();
@@ -108,12 +108,12 @@
 
 void FakeSurroundings::onRequest(const std::string& id, Hub::Id from) {
   const auto at = requests.find(id);
-  if (at == requests.end()) return reportBroken("a call for " + id + ", which nobody handed in");
+  if (at == requests.end()) return reportBroken("a call for " + id + ", which was not submitted");
   DrawnRequest& request = at->second;
   checkRetry(id, request);
   if (request.calls.size() >= kMaxCalls) reportBroken(id + " is called a thirteenth time");
   if (!request.notification.empty()) reportBroken(id + " is called after its notification");
-  // A process that ended may not have read it.
+  // An answer 410 from before a restart may not have been read by the process that ended.
   if (request.goneMs > restartMs) reportBroken(id + " is called after its completion");
   if (clock_.nowMs > request.deadlineMs + kInTransitMs) reportBroken(id + " is called after its deadline");
   request.calls.push_back({clock_.nowMs, from, true, true});
@@ -152,7 +152,7 @@
   for (std::string line; std::getline(lines, line);) {
     const std::size_t before = notifications;
     onNotification(line);
-    if (notifications == before) return;  // of a request that is not known
+    if (notifications == before) return;  // the request is unknown, which has been reported
   }
   answerNotifications(from);
 }
@@ -161,7 +161,7 @@
   const std::size_t at = line.find(R"("ref":")") + 7;
   const std::string id = line.substr(at, line.find('"', at) - at);
   const auto known = requests.find(id);
-  if (known == requests.end()) return reportBroken("a notification of " + id + ", which nobody handed in");
+  if (known == requests.end()) return reportBroken("a notification of " + id + ", which was not submitted");
   DrawnRequest& request = known->second;
   const bool failed = line.find("\"dead\"") != line.npos;
   const std::string status = failed ? "dead" : "bounced";
@@ -179,7 +179,7 @@
       clock_.nowMs < request.notifiedMs.back() + kNotificationsApartMs)
     reportBroken("notifications of " + id + " follow each other too closely");
   request.notifiedMs.push_back(clock_.nowMs);
-  // Behind a post that is not answered, and the attempts after it, a notification may be late.
+  // After a post that failed or was not answered, and its retries, a notification may be late.
   const bool waited = platformFailedMs_ > request.deadlineMs - kNotificationStuckMs;
   if (request.completedMs < 0) request.mayBeLate = waited;
   complete(request);
@@ -189,7 +189,7 @@
 void FakeSurroundings::answerNotifications(Hub::Id from) {
   const int draw = below(100);
   if (draw < 25) platformFailedMs_ = clock_.nowMs;
-  if (draw < 8) return;  // no answer
+  if (draw < 8) return;  // leaves the post unanswered
   if (draw < 14) return hub.close(from, true);
   hub.send(from,
            draw < 25 ? "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n" : "HTTP/1.1 204 No Content\r\n\r\n");
--- a/tests/exchange/fake_surroundings.h
+++ b/tests/exchange/fake_surroundings.h
@@ -1,12 +1,12 @@
-// Clients, endpoints and the platform around a request manager, on loopback, failing in every way the
-// protocol knows. They check the rules by what they see, request by request and over all processes; what they
-// saw outlasts the processes.
+// Fake clients, endpoints and platform around a request manager, on loopback. They fail in every way that the
+// protocol allows, and check the rules for each request by the calls and notifications that they receive.
+// Their records cover all successive processes of the relay.
 //
 //   FakeSurroundings surroundings(seed, clock);
-//   surroundings.turn();                            // answers whose time has come
+//   surroundings.turn();                            // sends the answers that are due
 //   if (!surroundings.brokenRule.empty()) ...       // the first rule that was broken, and when
 //
-// All draws come from `random`, in the order of what happens. One thread.
+// All random choices use `random`, in the order of events, so that a seed reproduces them. Single-threaded.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,7 @@
 
 inline constexpr int kCallSlots = 6;
 inline constexpr int kClasses = 3;
-// By how much a notification may be late behind a post that the platform does not answer.
+// By how much a notification may be late while an earlier one gets no answer from the platform.
 inline constexpr double kNotificationStuckMs = 4000;
 
 Settings drawnSettings(std::uint64_t seed);
@@ -34,8 +34,8 @@
 struct ReceivedCall {
   double atMs = 0;
   lab::Hub::Id connection = 0;
-  bool pending = true;        // without an answer, on a connection that is open
-  bool mayBeExecuted = true;  // until an answer says otherwise
+  bool pending = true;        // not answered, and its connection is open
+  bool mayBeExecuted = true;  // until an answer states that it was not executed
 };
 
 struct DrawnRequest {
@@ -43,12 +43,12 @@
   double deadlineMs = 0;
   bool accepted = false;
   bool delivered = false;
-  double goneMs = -1;       // answered 410
-  double completedMs = -1;  // first known to be completed
+  double goneMs = -1;       // when it was answered 410; -1 if it was not
+  double completedMs = -1;  // when it was first known to be completed; -1 if it is not
   std::vector<ReceivedCall> calls;
-  std::string notification;  // its status in the notification; empty: none
+  std::string notification;  // the notified status; empty if there was no notification
   std::vector<double> notifiedMs;
-  bool mayBeLate = false;  // its notification
+  bool mayBeLate = false;  // whether its notification may be late
 };
 
 struct FakeEndpoint {
@@ -56,7 +56,7 @@
   std::string address;
   int kind = 0;
   EndpointState state = EndpointState::kRunning;
-  double drainsMs = -1;  // since when it drains
+  double drainsMs = -1;  // when it began to drain; -1 if it does not drain
   double retryAfterFromMs = -1;
   double retryAfterUntilMs = -1;
 };
@@ -65,6 +65,7 @@
  public:
   FakeSurroundings(std::uint64_t seed, lab::HandClock& clock);
 
+  // Returns a random number from 0 to limit - 1.
   int below(int limit) { return static_cast<int>(random() % static_cast<std::uint64_t>(limit)); }
   void reportBroken(const std::string& what);
   void turn();
@@ -91,7 +92,7 @@
     bool isBulk = false;
   };
 
-  // fake_surroundings.cpp: what arrives, and the rules for it.
+  // In fake_surroundings.cpp: received calls and notifications, and the checks of the rules.
   void onCall(FakeEndpoint& endpoint, lab::Hub::Id from, const lab::Message& message);
   void checkCall(const FakeEndpoint& endpoint, const Arrival& call);
   std::size_t callsInFlight();
@@ -103,7 +104,7 @@
   void answerNotifications(lab::Hub::Id from);
   void complete(DrawnRequest& request) const;
 
-  // fake_surroundings_answers.cpp: what the endpoints answer.
+  // In fake_surroundings_answers.cpp: the endpoints' answers.
   void scheduleAnswer(FakeEndpoint& endpoint, const Arrival& call);
   void answer(FakeEndpoint& endpoint, const Arrival& call, int draw);
   void answerSuccess(const Arrival& call);
--- a/tests/exchange/fake_surroundings_answers.cpp
+++ b/tests/exchange/fake_surroundings_answers.cpp
@@ -1,4 +1,4 @@
-// What the fake endpoints answer, and when.
+// The fake endpoints' answers and their times.
 #include <algorithm>
 
 #include "tests/exchange/fake_surroundings.h"
@@ -8,7 +8,7 @@
 
 using lab::Hub;
 
-// The body of an answer to a bulk call, one state for each id.
+// Builds the body of an answer to a bulk call, with one state for each id.
 class BulkBody {
  public:
   void add(const std::string& id, const std::string& state) {
@@ -49,7 +49,7 @@
     setOutcomes(call, true, false);
     return hub.close(from, true);
   }
-  if (draw < 90) {  // an answer that cannot be read, or is not complete
+  if (draw < 90) {  // a malformed or an incomplete answer
     setOutcomes(call, true, false);
     return hub.send(from, draw == 87 ? "garbage\r\n\r\n" : "HTTP/1.1 503 No\r\nContent-Length: 9");
   }
@@ -84,7 +84,8 @@
   send(call, "429 No\r\nRetry-After: " + (waitMs >= 1000 ? "1.000" : "0." + std::to_string(waitMs)));
 }
 
-// It closes the connection at once if announced, or else when the next call may be on its way.
+// Rejects the call and closes its connection up to 400 ms later; with `announced` the answer says so in a
+// Connection header.
 void FakeSurroundings::rejectAndClose(const Arrival& call, bool announced) {
   setOutcomes(call, false, false);
   const Hub::Id from = call.connection;
@@ -109,7 +110,7 @@
   send(call, "410 No");
 }
 
-// `head`: the status line behind the version, and further headers.
+// `head`: the status line after the HTTP version, and further headers.
 void FakeSurroundings::send(const Arrival& call, const std::string& head, const std::string& body) {
   hub.send(call.connection,
            "HTTP/1.1 " + head + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
--- a/tests/exchange/final_status_agreement_test.cpp
+++ b/tests/exchange/final_status_agreement_test.cpp
@@ -1,4 +1,5 @@
-// Two processes in succession tell the platform the same of a request, whatever the first could not record.
+// Two successive processes notify the platform of the same final status of a request, whatever records the
+// first process could not write.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -16,9 +17,9 @@
 constexpr std::array<const char*, 3> kIds = {"status", "caption", "billing"};  // one of each class
 constexpr int kBilling = 2;                                                    // non-idempotent
 constexpr double kLifetimeMs = 1500;
-constexpr std::uint64_t kForGood = 1 << 20;
+constexpr std::uint64_t kPermanently = 1 << 20;  // more operations than a test makes
 
-// What becomes of each call.
+// How the endpoint replies to the calls; the last two differ between the first calls and the retries.
 enum class Reply { kRejected, kFailed, kBroken, kSilent, kRejectedThenSilent, kSilentThenRejected };
 constexpr std::array<Reply, 6> kReplies = {
     Reply::kRejected,          Reply::kFailed, Reply::kBroken, Reply::kSilent, Reply::kRejectedThenSilent,
@@ -38,9 +39,9 @@
   std::uint64_t count = 0;
 };
 
-// Plays the first process until past the deadline under that fault, and the next one on a sound disk. False:
-// the first one did not come as far as the fault.
-bool play(SuccessiveProcesses& relay, Reply kind, const DiskFault& fault) {
+// Runs the first process beyond the deadline under that disk fault, and the next one on a working disk.
+// Returns false if the first process did not reach the fault.
+bool runBothProcesses(SuccessiveProcesses& relay, Reply kind, const DiskFault& fault) {
   relay.onCall = [&relay, kind](lab::Hub::Id call) { reply(relay, kind, call); };
   relay.start();
   const std::uint64_t before = relay.process->files.operations();
@@ -61,19 +62,19 @@
 
 }  // namespace
 
-// Guards against a request that is bounced by one process, and dead by the next: its attempt was known not
-// executed, and neither that nor its final status could be recorded.
+// Guards against a request that one process notifies as bounced and the next one as dead. Its attempt is
+// known not executed, but neither that nor its final status could be recorded.
 TEST_CASE("a request that never ran fails, where its attempt is recorded and nothing after that can be") {
   SuccessiveProcesses relay;
-  std::vector<lab::Hub::Id> held;
-  relay.onCall = [&](lab::Hub::Id call) { held.push_back(call); };
+  std::vector<lab::Hub::Id> unansweredCalls;
+  relay.onCall = [&](lab::Hub::Id call) { unansweredCalls.push_back(call); };
   relay.start();
   relay.submit("m", kBilling, kLifetimeMs);
   relay.advance(20);
-  REQUIRE(held.size() == 1);
-  relay.process->files.failAt(relay.process->files.operations() + 1, kForGood, EIO);
+  REQUIRE(unansweredCalls.size() == 1);
+  relay.process->files.failAt(relay.process->files.operations() + 1, kPermanently, EIO);
   relay.onCall = nullptr;
-  relay.answer(held.front(), "503 Full");
+  relay.answer(unansweredCalls.front(), "503 Full");
   relay.advance(kLifetimeMs + 100);
   CHECK(relay.statuses["m"] == std::vector<std::string>{"dead"});
   relay.kill();
@@ -88,22 +89,22 @@
   relay.onCall = [&](lab::Hub::Id call) { relay.answer(call, "503 Full"); };
   relay.start();
   relay.submit("m", kBilling, kLifetimeMs);
-  relay.process->files.failAt(relay.process->files.operations() + 3, kForGood, EIO);
+  relay.process->files.failAt(relay.process->files.operations() + 3, kPermanently, EIO);
   relay.advance(kLifetimeMs / 2);
   relay.process->files.failAt(0, 0, 0);
   relay.advance(kLifetimeMs);
   CHECK(relay.statuses["m"] == std::vector<std::string>{"bounced"});
 }
 
-// The table of records that may be missing: a fault at each operation of the first process, once and for
-// good, with each thing that can become of a call.
+// Covers all combinations of missing records: a disk fault from each operation of the first process on, for
+// one operation, three operations or permanently, with each reply of the endpoint.
 TEST_CASE("two processes tell the same of a request, whichever of its records are missing") {
   for (const Reply kind : kReplies) {
-    for (const std::uint64_t count : {std::uint64_t{1}, std::uint64_t{3}, kForGood}) {
+    for (const std::uint64_t count : {std::uint64_t{1}, std::uint64_t{3}, kPermanently}) {
       std::uint64_t from = 1;
       for (bool failed = true; failed; ++from) {
         SuccessiveProcesses relay;
-        failed = play(relay, kind, {from, count});
+        failed = runBothProcesses(relay, kind, {from, count});
         for (const char* id : kIds) {
           INFO("reply ", static_cast<int>(kind), ", ", count, " operations fail from ", from, ", ", id);
           const std::vector<std::string>& statuses = relay.statuses[id];
@@ -111,7 +112,7 @@
           if (relay.answers[id] == Answer::Kind::kAccepted) CHECK_FALSE(statuses.empty());
         }
       }
-      CHECK(from > 8);  // three requests, with two records each at least
+      CHECK(from > 8);  // at least two records for each of the three requests
     }
   }
 }
--- a/tests/exchange/given_up_requests.h
+++ b/tests/exchange/given_up_requests.h
@@ -1,5 +1,5 @@
 // Requests that the decision module gives up while their 202 waits for a sync, on a disk that cannot record
-// it.
+// their completion.
 #pragma once
 
 #include <array>
@@ -18,12 +18,12 @@
   site.manager->onSynced();
 }
 
-// Four requests whose sync runs when the disk begins to fail. The decision module gives up those that get no
-// call, and the records of that wait for the disk.
+// Submits four requests and makes the disk fail while their sync runs. The decision module gives up those
+// that get no call slot, and their completion records wait for the disk.
 inline void submitAndGiveUp(Site& site) {
   for (const char* id : kShortLived) site.submit(id, 200);
   site.advance(10);
-  syncOnce(site);  // of what was written before
+  syncOnce(site);  // covers only the records written before the requests
   site.failDisk();
   site.advance(300);
   REQUIRE(site.counters.failFast >= kShortLived.size() - 1);
--- a/tests/exchange/given_up_while_syncing_test.cpp
+++ b/tests/exchange/given_up_while_syncing_test.cpp
@@ -1,6 +1,6 @@
-// Level `group`: requests that the decision module gives up while their 202 waits for a sync, on a disk that
-// cannot record their completion. Guards against a 202 for what is forgotten, and against capacity lost for
-// good.
+// Requests that the decision module gives up while their 202 waits for a sync (durability level `group`), on
+// a disk that cannot record their completion. Guards against a 202 for a request that the relay does not
+// deliver, and against pending-request capacity that is never freed.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 
 constexpr int kShortLived = 6;
 
-// One request that lives on and six whose deadline passes while the disk fails; none has its sync yet.
+// Submits one request with enough time and six whose deadline passes while the disk fails, before any sync.
 void submitAndGiveUp(Site& site) {
-  site.submit("lives-on");
+  site.submit("long-lived");
   for (int i = 0; i < kShortLived; ++i) site.submit("short-" + std::to_string(i), 200);
   site.advance(10);
   REQUIRE(site.syncer.jobs.size() == 1);
@@ -26,7 +26,7 @@
   site.advance(700);
 }
 
-// Long enough for all that waits for the disk.
+// Long enough for all retries of records and syncs.
 void advanceAndSync(Site& site) {
   for (int i = 0; i < 40; ++i) {
     site.advance(100);
--- a/tests/exchange/idempotency_window_test.cpp
+++ b/tests/exchange/idempotency_window_test.cpp
@@ -1,5 +1,5 @@
-// The idempotency window and the deadline against what lies between the decision and a call's first byte, or
-// between a call and its answer: a sync that takes long, an earlier process.
+// The idempotency window and the deadline hold although time passes between the decision and the call's first
+// byte, or between the call and its answer: during a slow sync, or while no process runs.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -16,7 +16,7 @@
 constexpr double kWindowMs = 1000;
 constexpr double kConnectMs = 100;
 
-// Requests with a key at the level `group`; syncs are done when the test says so.
+// Submits requests with a key at the durability level `group`; syncs run when the test calls `sync`.
 class RequestsWithKey {
  public:
   RequestsWithKey()
@@ -42,7 +42,7 @@
       site.advance(10);
     }
   }
-  // The call that has arrived, read completely.
+  // Accepts the connection of the next call and reads the call.
   Fd acceptCall() {
     int errorNumber = 0;
     Fd fd = acceptFrom(site.endpoint, errorNumber);
@@ -68,9 +68,9 @@
     keyed.submit();
     site.advance(10);
     keyed.sync();
-    REQUIRE(keyed.acceptCall());  // and closed unanswered: it may have been executed
+    REQUIRE(keyed.acceptCall());  // closed without an answer, so the call may have been executed
     REQUIRE(keyed.arrivedCalls == 1);
-    // Its retry is decided at once, and recorded; now the disk hangs.
+    // The retry is decided and recorded at once; its sync takes `syncMs`.
     while (site.syncer.jobs.empty() && site.clock.nowMs < firstMs + 200) site.advance(5);
     REQUIRE(!site.syncer.jobs.empty());
     REQUIRE(site.outbound.callsOut() == 0);
@@ -87,7 +87,7 @@
   const Stamp then{1e12, 1000, "run"};
   CHECK(wallSetBackMs(then, {1e12 + 2300, 4000, "run"}) == 700);
   CHECK(wallSetBackMs(then, {1e12 + 9000, 4000, "run"}) == 0);      // set forward
-  CHECK(wallSetBackMs(then, {1e12 + 2300, 4000, "another"}) == 0);  // nothing in common
+  CHECK(wallSetBackMs(then, {1e12 + 2300, 4000, "another"}) == 0);  // another boot of the machine
   lab::Disk disk;
   HandClocks clock;
   {
@@ -103,11 +103,11 @@
   CHECK(second.directory.wallSetBackMs() == 700);
 }
 
-// Forces the instant at which an answer comes with its request's deadline: the call is over by then, and the
-// request completed, so that no answer can count as its delivery here and as late where it was written.
+// Guards against an answer that arrives at the deadline and counts as a delivery for the relay but as too
+// late for the endpoint: by then the call must have ended and the request must be completed.
 TEST_CASE("a call ends before the deadline of its request, which an answer would then not reach in time") {
   Site site;
-  IncomingRequest request;  // non-idempotent: its call is waited for as long as it has time
+  IncomingRequest request;  // non-idempotent, so its call may take all the time left
   request.id = "m";
   request.classIndex = 2;
   request.destination = 7;
@@ -120,17 +120,17 @@
   REQUIRE(fd);
   site.advance(80);
   CHECK(site.outbound.callsOut() == 1);
-  site.advance(5);  // 95 of the 100 ms
+  site.advance(5);  // 95 of the 100 ms have passed
   std::string bytes;
   for (Io progress = Io::kProgress; progress == Io::kProgress;) progress = readSome(fd, bytes);
-  CHECK(readSome(fd, bytes) == Io::kClosed);  // for its endpoint the call is over
-  site.advance(60);                           // an answer that was on its way is awaited
+  CHECK(readSome(fd, bytes) == Io::kClosed);  // the relay has ended the call
+  site.advance(60);                           // it still waits for an answer that is in transit
   CHECK(site.outbound.callsOut() == 0);
   CHECK(site.counters.delivered == 0);
   CHECK(site.counters.failed + site.counters.returned == 1);
 }
 
-// The record `taken` is written, and everything after it fails: the attempt, the sync, and the completion.
+// The request's first record (`taken`) is written; the attempt, the sync and the completion fail.
 TEST_CASE(
     "group: a rejection that waits for its completion to be recorded drops the send that waits for the "
     "disk") {
@@ -140,13 +140,13 @@
   site.advance(10);
   site.syncer.work();
   site.manager->onSynced();
-  site.advance(600);  // the send is tried again, twice
+  site.advance(600);  // two retries of the deferred send
   CHECK(site.answers.empty());
   site.repairDisk();
   site.advance(600);
   REQUIRE(site.answers.size() == 1);
   CHECK(site.answers[0] == Answer::Kind::kRejected);
-  for (int sync = 0; sync < 5; ++sync) {  // what the failed sync was to cover is written again
+  for (int sync = 0; sync < 5; ++sync) {  // rewrites the records that the failed sync should have covered
     site.syncer.work();
     site.manager->onSynced();
     site.advance(300);
@@ -160,8 +160,9 @@
   CHECK(site.outbound.callsOut() == 1);
 }
 
-// The call is given up 5 ms before its request's deadline; its endpoint answers just then. By its clock the
-// deadline may have passed, and then the platform's notification is all that the client learns.
+// The call is given up 5 ms before the request's deadline, and its endpoint answers just then. By the
+// client's clock the deadline may have passed already; the client then learns the result only from the
+// platform.
 TEST_CASE("an answer that was on its way at the deadline does not prevent the notification") {
   Site site;
   site.submit("m", 100);
--- a/tests/exchange/quota_charges_test.cpp
+++ b/tests/exchange/quota_charges_test.cpp
@@ -1,4 +1,4 @@
-// What requests and calls are charged to the quotas, and what is refunded.
+// Charges of requests and calls to the quotas, and their refunds.
 #include <doctest/doctest.h>
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace {
 
-// One tenant, in a minute: three requests, two calls.
+// Allows one tenant three requests and two calls per minute.
 QuotaPlan smallPlan() {
   QuotaPlan plan;
   plan.windowsS = {60};
@@ -40,12 +40,12 @@
   CHECK((used(site) == Used{1, 1000000, 0}));
   site.advance(10);
   CHECK((used(site) == Used{1, 1000000, 1}));
-  site.submit("m1");  // the same again
+  site.submit("m1");  // a repetition of the same request
   CHECK((used(site) == Used{1, 1000000, 1}));
   site.submit("m2");
   site.advance(10);
   CHECK((used(site) == Used{2, 2000000, 2}));
-  // The request would fit; its call would not.
+  // The quota allows another request, but no call for it.
   site.submit("m3");
   CHECK(site.answers.back() == Answer::Kind::kQuotaExceeded);
   CHECK(site.lastRetryAfterMs > 59000);
@@ -60,20 +60,20 @@
   site.submit("gone");
   site.manager->onClientDisconnect("gone");
   CHECK((used(site) == Used{0, 0, 0}));
-  site.submit("late", 0.1);  // no time to execute it
+  site.submit("late", 0.1);  // too little time left to execute it
   CHECK((used(site) == Used{1, 1000000, 0}));
   site.advance(10);
   REQUIRE(site.answers.size() == 1);
   REQUIRE(site.answers.back() == Answer::Kind::kRejected);
   CHECK((used(site) == Used{0, 0, 0}));
-  // The disk fails at its record.
+  // The disk fails when the request is recorded.
   site.failDisk();
   site.submit("unrecorded");
   site.advance(10);
   REQUIRE(site.answers.back() == Answer::Kind::kRejected);
   CHECK((used(site) == Used{0, 0, 0}));
   site.repairDisk();
-  site.advance(1500);  // the journal's pause after a fault
+  site.advance(1500);  // longer than the journal's pause after a fault
   site.submit("m");
   site.advance(10);
   CHECK((used(site) == Used{1, 1000000, 1}));  // its call waits for the sync
--- a/tests/exchange/relay_under_test.h
+++ b/tests/exchange/relay_under_test.h
@@ -1,11 +1,11 @@
-// The parts of a relay behind its client side, among FakeSurroundings, on a manual clock and a disk in memory
-// that outlasts it. Destroying it is the end of its process.
+// The components of a relay without its HTTP server, connected to FakeSurroundings, on a manual clock and an
+// in-memory disk that outlives it. Destroying the object simulates the end of the process.
 //
 //   RelayUnderTest relay(surroundings, clock, disk, seed, isGroup);
 //   if (!relay.opened) ...      // the journal's folder cannot be used
-//   while (relay.turn()) ...    // false: it has ended at an operation of its disk
+//   while (relay.turn()) ...    // until the process has crashed at a disk operation
 //
-// One thread.
+// Single-threaded.
 #pragma once
 
 #include <sstream>
@@ -39,10 +39,11 @@
     manager.recover(std::move(*found), directory.begin(endpointList(), clock.wallMs()));
   }
 
-  // Discovery hands out the endpoints as they are now.
+  // Applies a list with the current state of the endpoints, as discovery would.
   void updateList() {
     if (auto event = directory.onList(endpointList(), 0)) manager.onList(std::move(*event));
   }
+  // Runs the loop and the surroundings; returns false once the process has crashed at a disk operation.
   bool turn() {
     for (int i = 0; i < 3; ++i) {
       loop.after(0, [] {});
@@ -85,7 +86,7 @@
   std::ostringstream log_;
 
  public:
-  // In the order in which they build on each other.
+  // In the order of construction: each refers only to those above it.
   lab::FaultyFiles files;
   lab::HandSyncer syncer;
   Loop loop{clock_};
--- a/tests/exchange/request_manager_properties_test.cpp
+++ b/tests/exchange/request_manager_properties_test.cpp
@@ -1,8 +1,8 @@
-// The rules as properties of what leaves the process: request manager, journal and upstream side as they are,
-// over a disk in memory and a manual clock, among endpoints, clients and a platform that fail in every way
-// the protocol knows (fake_surroundings.h). Calls and notifications are counted where they arrive, request by
-// request and over all processes: the module's attempts, the connections, bulk calls, the recovery from the
-// journal and a second hand-in can only add up there.
+// Checks the rules as properties of the calls and notifications that the relay sends. The request manager,
+// the journal and the upstream client run on an in-memory disk and a manual clock, among endpoints, clients
+// and a platform that fail in every way the protocol allows (fake_surroundings.h). Calls and notifications
+// are counted by their receivers, for each request and over all processes: only there do attempts,
+// connections, bulk calls, recovery from the journal and resubmissions show their combined effect.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr double kStepMs = 5;
-constexpr double kSubmitMs = 12000;  // until when requests are handed in
+constexpr double kSubmitMs = 12000;  // no request is submitted later
 constexpr double kEndMs = 45000;
 constexpr double kLateMs = 300;
 constexpr double kAfterRestartMs = 1500;
@@ -31,7 +31,7 @@
     surroundings_.classes = drawnSettings(seed).classes;
   }
 
-  // The rule that was broken first; empty: none.
+  // Returns the first broken rule, or an empty text.
   std::string run() {
     start();
     while (clock_.nowMs < kEndMs && surroundings_.brokenRule.empty() && !isFinished()) {
@@ -91,7 +91,7 @@
     request.id = id;
     request.classIndex = surroundings_.below(kClasses);
     request.key = request.classIndex == 1 ? "k" + id : "";
-    // Of the long ones, three and more do not fit a call.
+    // Three or more of the long bodies may not fit into one call.
     const int bytes =
         surroundings_.below(8) == 0 ? 9000 + surroundings_.below(9000) : surroundings_.below(900);
     request.body = std::string(static_cast<std::size_t>(bytes), 'b');
@@ -108,7 +108,7 @@
         surroundings_.reportBroken(id + " is rejected without a Retry-After");
     });
   }
-  // A client that lost its answer hands the same in once more, or something else under the same id.
+  // A client that lost its answer submits the same request again, or a different one under the same id.
   void resubmit() {
     std::vector<std::string> pending;
     for (const auto& [id, request] : surroundings_.requests)
@@ -117,13 +117,13 @@
     const int drawn = surroundings_.below(static_cast<int>(pending.size()));
     IncomingRequest request = submitted_.at(pending[static_cast<std::size_t>(drawn)]);
     request.arrivedMs = clock_.nowMs;
-    const bool isOther = surroundings_.below(4) == 0;
-    if (isOther) request.key += "x";
+    const bool isDifferent = surroundings_.below(4) == 0;
+    if (isDifferent) request.key += "x";
     const std::string id = request.id;
     ++resubmissions_;
-    relay_->manager.onRequest(std::move(request), [this, id, isOther](const Answer& answer) {
-      if (answer.kind == Answer::Kind::kAccepted && isOther)
-        surroundings_.reportBroken("something else is accepted as " + id);
+    relay_->manager.onRequest(std::move(request), [this, id, isDifferent](const Answer& answer) {
+      if (answer.kind == Answer::Kind::kAccepted && isDifferent)
+        surroundings_.reportBroken("a different request is accepted as " + id);
     });
   }
 
@@ -150,7 +150,7 @@
   std::size_t notifications = 0;
   int restarts = 0;
   int resubmissions = 0;
-  // In scenario 364 a call left for an endpoint that had stated a Retry-After.
+  // Seed 364 once made a call leave for an endpoint that had stated a Retry-After.
   std::vector<std::uint64_t> seeds = {364};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) seeds.push_back(seed);
   for (const std::uint64_t seed : seeds) {
@@ -165,7 +165,7 @@
     restarts += scenario.restarts();
     resubmissions += scenario.resubmissions();
   }
-  // It was a test of something.
+  // The scenarios must have exercised all of these.
   CHECK(requests > 10000);
   CHECK(calls > 8000);
   CHECK(bulkCalls > 100);
--- a/tests/exchange/same_id_test.cpp
+++ b/tests/exchange/same_id_test.cpp
@@ -1,6 +1,6 @@
-// A client that leaves before its 202 and sends the request again under the same id: the second is another
-// request, and nothing that was decided, recorded or queued for the first reaches it. Manual clocks, a disk
-// in memory.
+// A client disconnects before its 202 and sends the request again under the same id. The second one is a new
+// request: no decision, record or queued answer of the first may affect it. Uses manual clocks and an
+// in-memory disk.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Long enough for all that waits for the disk.
+// Long enough for all retries of records and syncs.
 void advanceAndSync(Site& site) {
   for (int i = 0; i < 20; ++i) {
     site.advance(50);
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-// Guards against a request that is recorded and counted twice because its id came twice in one batch.
+// Guards against a request that is recorded and counted twice because its id occurs twice in one batch.
 TEST_CASE("a client that disconnects and sends the same request again in the same batch has one request") {
   for (const bool group : {false, true}) {
     CAPTURE(group);
@@ -43,12 +43,12 @@
   }
 }
 
-// Guards against a 202, and a call, that rest on the record of an earlier request of the same id.
+// Guards against a 202 and a call that rely on the record of an earlier request with the same id.
 TEST_CASE("group: a request sent again while the sync of its predecessor runs waits for its own") {
   Site site(true);
   site.submit("m");
   site.advance(10);
-  syncOnce(site);  // of what was written before
+  syncOnce(site);  // covers only the records written before the request
   REQUIRE(site.syncer.jobs.size() == 1);
   site.manager->onClientDisconnect("m");
   site.submit("m");
@@ -60,10 +60,11 @@
   CHECK(site.isPendingOnDisk("m"));
 }
 
-// Guards against a rejection, and a completion, of a request that only has the id of the one it is meant for.
+// Guards against a rejection or completion that is applied to a later request with the same id.
 TEST_CASE("group: a rejection that waits for the disk does not reach a later request of the same id") {
   Site site(true);
-  // A record that fails later makes the journal rest beyond the first retry of the rejections.
+  // These cause a later disk fault, so that the journal's pause lasts beyond the first retry of the
+  // rejections.
   for (const char* id : {"later-0", "later-1", "later-2"}) site.submit(id, 360);
   submitAndGiveUp(site);
   site.advance(100);
@@ -71,7 +72,7 @@
   site.advance(50);
   for (const char* id : kShortLived) site.manager->onClientDisconnect(id);
   site.answersById.clear();
-  site.advance(145);  // the journal rests no more, and the second retry is still to come
+  site.advance(145);  // the journal's pause is over, and the second retry has not come yet
   for (const char* id : kShortLived) site.submit(id);
   advanceAndSync(site);
   for (const std::string id : kShortLived) {
--- a/tests/exchange/slow_sync_test.cpp
+++ b/tests/exchange/slow_sync_test.cpp
@@ -1,5 +1,5 @@
-// Requests whose time is up while their call waits, or has waited, for a sync of a slow disk: manual clocks,
-// a disk in memory, an endpoint that takes calls.
+// Requests whose deadline passes while their call waits for a slow sync, or after it has waited. Uses manual
+// clocks, an in-memory disk and an endpoint that accepts calls.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr double kTimeLeftMs = 1000, kSyncMs = 400;
-constexpr double kAnswerOnItsWayMs = 50;  // that a call which is given up still waits for its answer
+constexpr double kAnswerInTransitMs = 50;  // how long a call that is given up still waits for its answer
 constexpr double kTurnsMs = 20;
 
-// One that may not be sent twice, so that its call may take all its time.
+// A non-idempotent request is not retried, so its call may take all the time left.
 void submitNonIdempotent(Site& site) {
   IncomingRequest request;
   request.id = "m";
@@ -33,7 +33,7 @@
 std::uint64_t finalStatuses(const Site& site) { return site.counters.failed + site.counters.returned; }
 
 void sync(Site& site) {
-  for (int i = 0; i < 3; ++i) {  // the first covers what was written before
+  for (int i = 0; i < 3; ++i) {  // the first sync covers only the records written before the request
     site.syncer.work();
     site.manager->onSynced();
     site.advance(5);
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-// Guards against final statuses that are late by as long as the call had waited for its sync.
+// Guards against a final status that is late by the time that the call waited for its sync.
 TEST_CASE("group: a call that waited for its sync is given up at its request's deadline") {
   Site site(true);
   submitNonIdempotent(site);
@@ -70,11 +70,11 @@
   REQUIRE(timeout != std::string::npos);
   CHECK(std::atof(bytes.c_str() + timeout + sizeof "X-Timeout: " - 1) * 1000 <= kTimeLeftMs - kSyncMs);
 
-  site.advance(kTimeLeftMs + kAnswerOnItsWayMs + kTurnsMs - site.clock.nowMs);
+  site.advance(kTimeLeftMs + kAnswerInTransitMs + kTurnsMs - site.clock.nowMs);
   CHECK(finalStatuses(site) == 1);
 }
 
-// Guards against accepted requests that get no final status for as long as a sync hangs.
+// Guards against an accepted request that gets no final status while a sync hangs.
 TEST_CASE("group: an accepted request whose next call waits for a sync is given up at its deadline") {
   Site site(true);
   submitNonIdempotent(site);
--- a/tests/exchange/stalled_turn_test.cpp
+++ b/tests/exchange/stalled_turn_test.cpp
@@ -1,5 +1,5 @@
-// A process that stands still within a turn of its loop, while something comes that forbids what was decided
-// before. The clock jumps where it stands; sockets are real.
+// The process is suspended within a turn of its event loop, and meanwhile a message arrives that forbids a
+// call decided before. The manual clock jumps at that point; sockets are real.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -15,11 +15,12 @@
 
 namespace {
 
-constexpr double kStandsMs = 140;
-constexpr const char* kWaits = "HTTP/1.1 429 Wait\r\nRetry-After: 0.300\r\nContent-Length: 0\r\n\r\n";
+constexpr double kSuspendedMs = 140;
+constexpr const char* kRetryAfterAnswer =
+    "HTTP/1.1 429 Wait\r\nRetry-After: 0.300\r\nContent-Length: 0\r\n\r\n";
 
-// Two endpoints that share their destination's limit. One call is at its endpoint, and a second one has been
-// decided; its descriptor has a lower number than that of the first.
+// Two endpoints share the limit of their destination. One call has reached its endpoint; a second one has
+// been decided, and its descriptor has a lower number than that of the first.
 struct TwoCalls {
   TwoCalls() : site(false, 1, 8, false) {
     std::optional<Pipe> lowNumbers(std::in_place);
@@ -47,18 +48,18 @@
   }
   void answerFirst() const {
     std::size_t written = 0;
-    REQUIRE(writeSome(firstPeer, kWaits, written) == Io::kProgress);
+    REQUIRE(writeSome(firstPeer, kRetryAfterAnswer, written) == Io::kProgress);
   }
   void turn() {
     site.loop.after(0, [] {});
     site.loop.runOnce();
   }
-  // The process stands in a handler of the next turn that reads, or writes.
-  void standIn(const Pipe& pipe, short events, const std::function<void()>& meanwhile) {
+  // Suspends the process in a read (POLLIN) or write (POLLOUT) handler of the next turn.
+  void suspendIn(const Pipe& pipe, short events, const std::function<void()>& meanwhile) {
     if (events & POLLIN) pipe.fill();
     site.loop.watch(pipe.here.get(), events, [this, &pipe, meanwhile](short) {
       site.loop.forget(pipe.here.get());
-      site.clock.nowMs += kStandsMs;
+      site.clock.nowMs += kSuspendedMs;
       meanwhile();
     });
   }
@@ -69,7 +70,7 @@
 
 }  // namespace
 
-// Guards against a call that breaks a stated wait which the poll of the same turn has reported.
+// Guards against a call that ignores a Retry-After which the poll of the same turn has reported.
 TEST_CASE("a call does not leave ahead of an answer with Retry-After that has a higher descriptor") {
   TwoCalls calls;
   calls.answerFirst();
@@ -79,62 +80,63 @@
   CHECK(calls.site.counters.outcomes.at(static_cast<std::size_t>(Outcome::kRejected)) == 1);
 }
 
-// Guards against a call that breaks a wait which was stated while the process stood, behind its poll.
+// Guards against a call that ignores a Retry-After which arrived after the poll, while the process was
+// suspended.
 TEST_CASE("a call does not leave ahead of an answer that came while a reader of its turn stood still") {
   TwoCalls calls;
-  const Pipe stands;
-  calls.standIn(stands, POLLIN, [&] { calls.answerFirst(); });
+  const Pipe suspending;
+  calls.suspendIn(suspending, POLLIN, [&] { calls.answerFirst(); });
   calls.turn();
   calls.site.advance(50);
   CHECK(TwoCalls::readAll(calls.secondPeer).empty());
 }
 
 TEST_CASE("a call does not leave ahead of an answer that came while a writer of its turn stood still") {
-  std::optional<Pipe> stands(std::in_place);  // its descriptors are lower than those of the calls
+  std::optional<Pipe> suspending(std::in_place);  // its descriptors are lower than those of the calls
   TwoCalls calls;
-  calls.standIn(*stands, POLLOUT, [&] { calls.answerFirst(); });
+  calls.suspendIn(*suspending, POLLOUT, [&] { calls.answerFirst(); });
   calls.turn();
   calls.site.advance(50);
   CHECK(TwoCalls::readAll(calls.secondPeer).empty());
 }
 
-// Guards against a call to an endpoint that drains, as a list says which lies unread.
+// Guards against a call to an endpoint that drains according to an endpoint list that has arrived unread.
 TEST_CASE("a call does not leave ahead of a list that came while its turn stood still") {
-  std::optional<Pipe> stands(std::in_place);
+  std::optional<Pipe> suspending(std::in_place);
   TwoCalls calls;
   const Pipe list;
   calls.site.loop.watch(list.here.get(), POLLIN, [&](short) {
     calls.site.loop.forget(list.here.get());
     calls.site.setEndpointState(EndpointState::kDraining);
   });
-  calls.standIn(*stands, POLLOUT, [&] { list.fill(); });
+  calls.suspendIn(*suspending, POLLOUT, [&] { list.fill(); });
   calls.turn();
   calls.site.advance(50);
   CHECK(TwoCalls::readAll(calls.secondPeer).empty());
 }
 
 TEST_CASE("a call that nothing forbids leaves in the turn after one that stood still") {
-  std::optional<Pipe> stands(std::in_place);
+  std::optional<Pipe> suspending(std::in_place);
   TwoCalls calls;
-  calls.standIn(*stands, POLLOUT, [] {});
+  calls.suspendIn(*suspending, POLLOUT, [] {});
   calls.turn();
   CHECK(TwoCalls::readAll(calls.secondPeer).empty());
   calls.turn();
   CHECK(TwoCalls::readAll(calls.secondPeer).find("X-Request-ID: second") != std::string::npos);
 }
 
-// Guards against calls that never leave, because each turn of an overloaded process takes too long.
+// Guards against calls that are never sent because each turn of an overloaded process takes too long.
 TEST_CASE("a call leaves in the fourth turn at the latest, though every turn stands still") {
-  std::optional<Pipe> stands(std::in_place);
+  std::optional<Pipe> suspending(std::in_place);
   TwoCalls calls;
   for (int turns = 1; turns <= 4; ++turns) {
-    calls.standIn(*stands, POLLOUT, [] {});
+    calls.suspendIn(*suspending, POLLOUT, [] {});
     calls.turn();
     CHECK(TwoCalls::readAll(calls.secondPeer).empty() == (turns < 4));
   }
 }
 
-// Guards against a notification that is sent again though its confirmation lies unread.
+// Guards against a notification that is sent again although its confirmation has arrived unread.
 TEST_CASE("a confirmation that came while a turn stood still is read before the notification's time-out") {
   lab::HandClock clock;
   Loop loop(clock);
@@ -154,10 +156,10 @@
   int code = 0;
   const Fd peer = acceptFrom(listener, code);
   REQUIRE(peer);
-  const Pipe stands;
-  loop.watch(stands.here.get(), POLLOUT, [&](short) {
-    loop.forget(stands.here.get());
-    clock.nowMs += 600;  // more than a notification waits for its answer
+  const Pipe suspending;
+  loop.watch(suspending.here.get(), POLLOUT, [&](short) {
+    loop.forget(suspending.here.get());
+    clock.nowMs += 600;  // longer than the timeout of a notification
     std::size_t written = 0;
     REQUIRE(writeSome(peer, "HTTP/1.1 204 No Content\r\n\r\n", written) == Io::kProgress);
   });
--- a/tests/exchange/successive_processes.h
+++ b/tests/exchange/successive_processes.h
@@ -1,5 +1,5 @@
-// Processes of one relay in succession, on one disk in memory, with an endpoint and a platform that outlast
-// them: what each process tells the platform of a request can be compared.
+// Successive processes of one relay on the same in-memory disk, with an endpoint and a platform that outlive
+// them. Tests compare the notifications of each process for a request.
 //
 //   SuccessiveProcesses relay;
 //   relay.start();
@@ -9,7 +9,7 @@
 //   relay.kill();
 //   relay.start();
 //
-// Manual clock, real sockets that nobody waits for. One thread.
+// Uses a manual clock and real sockets without blocking. Single-threaded.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -75,7 +75,7 @@
     REQUIRE(found);
     process->manager.recover(std::move(*found), process->directory.begin(endpointList(), clock.wallMs()));
   }
-  // As by SIGKILL: nothing more reaches the disk.
+  // Ends the process as SIGKILL does: nothing more is written to the disk.
   void kill() {
     process->files.crashAt(process->files.operations() + 1);
     process.reset();
@@ -92,7 +92,7 @@
     process->manager.onRequest(std::move(request),
                                [this, id](const Answer& answer) { answers[id] = answer.kind; });
   }
-  // In steps of 5 ms.
+  // Advances the clock in steps of 5 ms and runs the loop.
   void advance(double ms) {
     for (const double until = clock.nowMs + ms; clock.nowMs < until;) {
       clock.nowMs += 5;
@@ -103,7 +103,7 @@
       }
     }
   }
-  // An answer of the endpoint.
+  // Sends the endpoint's answer to a call.
   void answer(lab::Hub::Id call, const std::string& head) {
     hub_.send(call, "HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n");
   }
@@ -112,10 +112,10 @@
   lab::HandClock clock;
   lab::Disk disk;
   std::unique_ptr<Process> process;
-  std::function<void(lab::Hub::Id)> onCall;  // none: calls stay without an answer
+  std::function<void(lab::Hub::Id)> onCall;  // if empty, calls are not answered
   int calls = 0;
   std::map<std::string, Answer::Kind> answers;
-  // What the platform was told of each request, in order: "dead" or "bounced".
+  // The statuses notified to the platform for each request, in order: "dead" or "bounced".
   std::map<std::string, std::vector<std::string>> statuses;
 
  private:
--- a/tests/exchange/unrecorded_sends_test.cpp
+++ b/tests/exchange/unrecorded_sends_test.cpp
@@ -1,5 +1,5 @@
-// Sends whose attempt the journal cannot record: manual clocks, a disk in memory, real sockets that nobody
-// waits for.
+// Sends whose attempt the journal cannot record. Uses manual clocks, an in-memory disk and real sockets
+// without blocking.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -13,10 +13,11 @@
 
 namespace {
 
-// Recorded, and its first call put off: the disk fails from the attempt on.
-void acceptAndPutOff(Site& site, const std::string& id, double leftMs = 10e3) {
+// Submits a request that is recorded, and whose first send is deferred because the disk fails from its
+// attempt on.
+void acceptAndDefer(Site& site, const std::string& id, double leftMs = 10e3) {
   site.submit(id, leftMs);
-  // The next operation is its record `taken`, the one after it its record `attempt`.
+  // The next operation writes its record `taken`, the one after that its record `attempt`.
   site.files.failAt(site.files.operations() + 2, 1 << 20, EIO);
   site.advance(10);
   REQUIRE(site.counters.journalFaults == 1);
@@ -27,10 +28,10 @@
 
 TEST_CASE("while the disk fails, a send waits, uses up no attempts, and leaves when it can be recorded") {
   Site site;
-  acceptAndPutOff(site, "m");
+  acceptAndDefer(site, "m");
   CHECK(site.answers == std::vector<Answer::Kind>{Answer::Kind::kAccepted});
   site.advance(2000);
-  CHECK(site.counters.journalFaults < 12);  // the module may cancel it, but not in each batch
+  CHECK(site.counters.journalFaults < 12);  // the module may cancel the send, but not in each batch
   CHECK(site.notifications.empty());
   CHECK(site.outbound.callsOut() == 0);
   site.repairDisk();
@@ -41,7 +42,7 @@
 
 TEST_CASE("a request that completes while its send is put off frees the call slot for the next") {
   Site site;
-  acceptAndPutOff(site, "m", 1000);
+  acceptAndDefer(site, "m", 1000);
   site.advance(1200);  // after its deadline
   CHECK_FALSE(site.notifications.empty());
   site.repairDisk();
@@ -52,12 +53,13 @@
   CHECK(site.outbound.callsOut() == 1);
 }
 
-// Guards against a notification that is late because the send was next looked at a journal's rest later.
+// Guards against a notification that is late because the deferred send was checked only after the journal's
+// pause.
 TEST_CASE("a request whose send is put off has its final status at its deadline, not at the next look") {
   for (const double leftMs : {600.0, 700.0, 800.0, 900.0, 1000.0, 1100.0}) {
     Site site;
     const double submittedMs = site.clock.nowMs;
-    acceptAndPutOff(site, "m", leftMs);
+    acceptAndDefer(site, "m", leftMs);
     site.advance(submittedMs + leftMs + 15 - site.clock.nowMs);
     INFO(leftMs);
     CHECK_FALSE(site.notifications.empty());
@@ -66,7 +68,7 @@
 
 TEST_CASE("group: a client that disconnects drops its put-off send; the same id again is another request") {
   Site site(true);
-  acceptAndPutOff(site, "m");
+  acceptAndDefer(site, "m");
   CHECK(site.answers.empty());  // no sync yet
   site.manager->onClientDisconnect("m");
   site.repairDisk();
