--- a/src/outbound/upstream_client_outcomes.cpp
+++ b/src/outbound/upstream_client_outcomes.cpp
@@ -96,7 +96,7 @@
   }
   if (result.end == ClientConnection::End::kWithheld) return reportUnanswered(call, Outcome::kNotSent);
   if (result.end == ClientConnection::End::kInvalidAnswer) {
-    ++counters_.spoilt;
+    ++counters_.malformedAnswers;
     return reportSpoilt(call, result.arrivedMs, result.answer);
   }
   if (result.end != ClientConnection::End::kAnswered && call.parting)
--- a/src/relay/relay_process_counters.cpp
+++ b/src/relay/relay_process_counters.cpp
@@ -1,4 +1,4 @@
-// The counters as a relay prints them at SIGUSR1 and at its end. Operators' tools read their names, which
+// Prints the counters of a relay, at SIGUSR1 and at its end. Operators' tools read their names, which
 // docs/operators/log.md lists.
 #include <cmath>
 #include <cstdint>
@@ -22,15 +22,15 @@
   printEndpointCounters(out);
   if (quotas_.enabled()) printQuotaCounters(out);
   if (fleet_) fleet_->print(out);
-  log_.pairs(out.str());
+  log_.writeCounters(out.str());
 }
 
 void RelayProcess::printTimeCounters(std::ostream& out) const {
-  out << "counters times: read-late=" << counters_.readLate
+  out << "counters times: read-late=" << counters_.lateReads
       << " max-unread-ms=" << std::llround(counters_.maxUnreadMs)
       << " max-timer-delay-ms=" << std::llround(loop_.maxTimerDelayMs())
-      << " overdue-notices=" << counters_.overdueNotices
-      << " max-notice-late-ms=" << std::llround(counters_.maxNoticeLateMs) << '\n';
+      << " overdue-notices=" << counters_.lateNotifications
+      << " max-notice-late-ms=" << std::llround(counters_.maxNotificationLateMs) << '\n';
 }
 
 void RelayProcess::printJournalCounters(std::ostream& out) const {
