--- a/src/exchange/completions.h
+++ b/src/exchange/completions.h
@@ -3,8 +3,7 @@
 // fails, the answer or notification is delayed until it can be recorded.
 //
 //   completions.giveUp(id, FinalStatus::kReturned, retryAfterMs);   // by the decision module
-//   completions.close(id);                                          // delivered, or its notification
-//   confirmed
+//   completions.close(id);   // delivered, or its notification is confirmed
 //
 // Invariants: a request in `unrecordedStatuses_` has a final status, and its notification has not been sent.
 // A request in `pendingRejections_` is given up and keeps its client's callback, unless the client has
--- a/tests/exchange/decided_once_test.cpp
+++ b/tests/exchange/decided_once_test.cpp
@@ -12,8 +12,8 @@
 using namespace myrtleloft::testing;
 
 // Guards against a 202 for a request that the journal has recorded as completed, so that no process delivers
-// it. The requests "later-N" cause a later disk fault: the journal's pause after it ends between the first
-// and the second retry of the rejections.
+// it. The records of the requests "later-N" fail last, so that the journal's pause after a fault ends between
+// the first and the second retry of the rejections.
 TEST_CASE("process ends: whoever is answered 202 is pending in the journal") {
   int recordedUnanswered = 0;
   for (int endMs = 0; endMs <= 400; endMs += 20) {
--- a/tests/exchange/request_manager_properties_test.cpp
+++ b/tests/exchange/request_manager_properties_test.cpp
@@ -150,7 +150,7 @@
   std::size_t notifications = 0;
   int restarts = 0;
   int resubmissions = 0;
-  // Seed 364 once made a call leave for an endpoint that had stated a Retry-After.
+  // Regression: with seed 364 a call was sent to an endpoint that had stated a Retry-After.
   std::vector<std::uint64_t> seeds = {364};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) seeds.push_back(seed);
   for (const std::uint64_t seed : seeds) {
--- a/tests/exchange/same_id_test.cpp
+++ b/tests/exchange/same_id_test.cpp
@@ -63,7 +63,7 @@
 // Guards against a rejection or completion that is applied to a later request with the same id.
 TEST_CASE("group: a rejection that waits for the disk does not reach a later request of the same id") {
   Site site(true);
-  // These cause a later disk fault, so that the journal's pause lasts beyond the first retry of the
+  // Their records fail last, so that the journal's pause after a fault outlasts the first retry of the
   // rejections.
   for (const char* id : {"later-0", "later-1", "later-2"}) site.submit(id, 360);
   submitAndGiveUp(site);
