--- a/src/policy/upstream.cpp
+++ b/src/policy/upstream.cpp
@@ -110,8 +110,8 @@
 void Upstream::recordAnnouncedOutage(BatchContext& batch, double sentMs) {
   announcedOutageUntilMs_ = retryAfterUntilMs_;
   recordPendingFailure(batch, sentMs);
-  const double outageEndMs = std::max(batch.nowMs(), announcedOutageUntilMs_);
-  slowStart_.recordFailure(outageEndMs, sentMs);
+  // The outage, and with it the failure, lasts until the announced end.
+  slowStart_.recordFailure(std::max(batch.nowMs(), announcedOutageUntilMs_), sentMs);
   eject(batch);
   outliers_.restartSuccesses();
   slowStart_.restart();
--- a/tests/policy/accepted_requests_test.cpp
+++ b/tests/policy/accepted_requests_test.cpp
@@ -1,5 +1,5 @@
-// What has its 202 is tried as long as a call may arrive in time; what cannot be served beside it is rejected
-// in the batch with which it comes.
+// An accepted request (answered 202) waits for an attempt as long as a call can arrive before its deadline. A
+// new request that cannot be served in addition is rejected in the batch in which it arrives.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -14,7 +14,7 @@
 constexpr double kStepMs = 50;
 constexpr double kLifetimeMs = 20000;
 
-// One of a hundred relays; its part of a listed endpoint is less than a call in two seconds.
+// Settings of one of a hundred relays, whose share of a listed endpoint is less than one call in two seconds.
 Settings oneOfMany() {
   Settings settings = plainSettings();
   settings.instanceCount = 100;
@@ -32,10 +32,10 @@
 struct AcceptedRequests : ::testing::Test {
   static std::vector<Event> requests(DispatcherFixture& fixture, int from, int count, int classIndex) {
     std::vector<Event> events;
-    for (int i = from; i < from + count; ++i) events.push_back(fixture.message(numbered(i), 1, classIndex));
+    for (int i = from; i < from + count; ++i) events.push_back(fixture.request(numbered(i), 1, classIndex));
     return events;
   }
-  // Lets time pass; each call has that outcome after a step.
+  // Runs batches up to `untilMs`; each call has the outcome one step after it was sent.
   static void answerCalls(DispatcherFixture& fixture, double untilMs, Outcome outcome) {
     for (double t = fixture.now + kStepMs; t <= untilMs; t += kStepMs) {
       std::vector<Event> outcomes;
@@ -46,57 +46,58 @@
   }
 };
 
-// Guards against an accepted request that is given up so that one which comes later fits in.
+// Guards against an accepted request being given up to make room for one that arrives later.
 TEST_F(AcceptedRequests, AreNotShedForThoseThatComeLater) {
   Settings settings = oneOfMany();
   settings.maxPendingRequests = 20;
   DispatcherFixture fixture(settings);
-  fixture.at(0, requests(fixture, 0, 18, 0));  // no endpoint is known: all of them wait
-  ASSERT_TRUE(fixture.refused.empty());
+  fixture.at(0, requests(fixture, 0, 18, 0));  // no endpoint is known, so all of them wait
+  ASSERT_TRUE(fixture.rejected.empty());
   fixture.at(kStepMs, requests(fixture, 18, 4, 1));
-  EXPECT_EQ(fixture.refused, (std::vector<std::string>{"m18", "m19", "m20", "m21"}));
+  EXPECT_EQ(fixture.rejected, (std::vector<std::string>{"m18", "m19", "m20", "m21"}));
 }
 
-// Guards against requests of an earlier process that are given up with no call, for want of a rate.
+// Guards against requests from before a restart being given up without a call because the rate is not known
+// yet.
 TEST_F(AcceptedRequests, OfAnEarlierProcessWaitUntilNoCallCanArriveInTime) {
   DispatcherFixture fixture(oneOfMany());
   std::vector<Event> first = requests(fixture, 0, 40, 1);
   first.insert(first.begin(), listedAt(60, ListUpdateKind::kCached));
   fixture.at(0, first);
   answerCalls(fixture, kLifetimeMs - kStepMs, Outcome::kSuccess);
-  EXPECT_TRUE(fixture.refused.empty());
+  EXPECT_TRUE(fixture.rejected.empty());
   EXPECT_TRUE(fixture.failed.empty());
-  EXPECT_GE(fixture.sends.size(), 8U);  // 0.48 a second
+  EXPECT_GE(fixture.sends.size(), 8U);  // 0.48 per second
   answerCalls(fixture, kLifetimeMs + kStepMs, Outcome::kSuccess);
-  EXPECT_EQ(fixture.refused.size() + fixture.sends.size(),
-            40U);  // each had its end, or a call that delivered
+  EXPECT_EQ(fixture.rejected.size() + fixture.sends.size(),
+            40U);  // each was answered or delivered
 }
 
-// The same requests, all new: what is more than the part allows is answered at once.
+// The same requests as new ones: those that exceed the relay's share are answered at once.
 TEST_F(AcceptedRequests, ThoseThatCannotBeServedAreRejectedInTheBatchWithWhichTheyCome) {
   DispatcherFixture fixture(oneOfMany());
   fixture.at(0, {listedAt(60)});
   const auto actions = fixture.at(kStepMs, requests(fixture, 0, 40, 1));
-  EXPECT_GE(fixture.refused.size(), 25U);
+  EXPECT_GE(fixture.rejected.size(), 25U);
   for (const Action& action : actions) {
     const auto* const reject = std::get_if<RejectAction>(&action);
     if (reject != nullptr) {
       EXPECT_GT(reject->retryAfterMs, 0) << reject->id;
     }
   }
-  const std::size_t refusedAtOnce = fixture.refused.size();
+  const std::size_t rejectedAtOnce = fixture.rejected.size();
   answerCalls(fixture, kLifetimeMs - kStepMs, Outcome::kSuccess);
-  EXPECT_EQ(fixture.refused.size(), refusedAtOnce);
+  EXPECT_EQ(fixture.rejected.size(), rejectedAtOnce);
 }
 
-// Two batches may come at the same time; the second does not take what the first accepted for new.
+// Two batches may have the same time: the second must not treat the requests accepted in the first as new.
 TEST_F(AcceptedRequests, OfABatchAtTheSameTimeAreNotTakenForNew) {
   Settings settings = oneOfMany();
   settings.maxPendingRequests = 20;
   DispatcherFixture fixture(settings);
   fixture.at(kStepMs, requests(fixture, 0, 18, 0));
   fixture.at(kStepMs, requests(fixture, 18, 2, 1));
-  EXPECT_EQ(fixture.refused, (std::vector<std::string>{"m18", "m19"}));
+  EXPECT_EQ(fixture.rejected, (std::vector<std::string>{"m18", "m19"}));
 }
 
 }  // namespace
--- a/tests/policy/connection_reuse_test.cpp
+++ b/tests/policy/connection_reuse_test.cpp
@@ -1,4 +1,4 @@
-// Idle connections: left open, closed, and learned to be broken by their age.
+// Tests of idle connections: when they stay open, when they are closed, and how their usable age is learned.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,39 +15,40 @@
 namespace myrtleloft {
 namespace {
 
-int freed(const std::vector<Action>& actions) {
-  return static_cast<int>(std::count_if(actions.begin(), actions.end(), [](const Action& a) {
-    return std::holds_alternative<CloseIdleConnectionsAction>(a);
+int closedIdleConnections(const std::vector<Action>& actions) {
+  return static_cast<int>(std::count_if(actions.begin(), actions.end(), [](const Action& action) {
+    return std::holds_alternative<CloseIdleConnectionsAction>(action);
   }));
 }
 
 TEST(ConnectionReuse, IdleConnectionsStayOpenWhileNoneIsRefused) {
   DispatcherFixture fixture(plainSettings());
-  fixture.at(0, {snapshot({entry("a")}), fixture.message("m")});
-  EXPECT_EQ(freed(fixture.at(100, {fixture.outcome("m", Outcome::kSuccess)})), 0);
-  EXPECT_EQ(freed(fixture.at(5000, {fixture.message("n")})), 0);
+  fixture.at(0, {snapshot({entry("a")}), fixture.request("m")});
+  EXPECT_EQ(closedIdleConnections(fixture.at(100, {fixture.outcome("m", Outcome::kSuccess)})), 0);
+  EXPECT_EQ(closedIdleConnections(fixture.at(5000, {fixture.request("n")})), 0);
 }
 
 TEST(ConnectionReuse, IdleConnectionsCloseWhereEndpointsOfTheKindRefuseConnections) {
   DispatcherFixture fixture(plainSettings());
-  fixture.at(0, {snapshot({entry("a"), entry("b", 2)}), fixture.message("m"), fixture.message("n", 2)});
+  fixture.at(0, {snapshot({entry("a"), entry("b", 2)}), fixture.request("m"), fixture.request("n", 2)});
   fixture.at(50, {fixture.outcome("n", Outcome::kConnectFailed)});
-  EXPECT_EQ(freed(fixture.at(100, {fixture.outcome("m", Outcome::kSuccess)})), 1);
+  EXPECT_EQ(closedIdleConnections(fixture.at(100, {fixture.outcome("m", Outcome::kSuccess)})), 1);
 }
 
-// A connection found dead after 4 s idle says nothing of the upstream; none half as old carries a request
-// after that.
+// A connection that breaks after 4 s of idling is no evidence about the upstream. After that, connections
+// that have been idle for half as long are closed instead of reused.
 TEST(ConnectionReuse, AnIdleAgeFoundBrokenIsLearnedOnceTheNextCallIsAnswered) {
   for (const bool answered : {true, false}) {
     DispatcherFixture fixture(plainSettings(Idempotency::kNonIdempotent));
-    fixture.at(0, {snapshot({entry("a"), entry("b", 2)}), fixture.message("m")});
+    fixture.at(0, {snapshot({entry("a"), entry("b", 2)}), fixture.request("m")});
     fixture.at(100, {fixture.outcome("m", Outcome::kSuccess)});
-    fixture.at(4100, {fixture.message("n")});
+    fixture.at(4100, {fixture.request("n")});
     fixture.at(4150,
-               {fixture.outcome("n", Outcome::kReset), fixture.message("next"), fixture.message("o", 2)});
+               {fixture.outcome("n", Outcome::kReset), fixture.request("next"), fixture.request("o", 2)});
     fixture.at(4300, {fixture.outcome("next", answered ? Outcome::kSuccess : Outcome::kConnectFailed),
                       fixture.outcome("o", Outcome::kSuccess)});
-    EXPECT_EQ(freed(fixture.at(6300, {fixture.message("p", 2)})), answered ? 1 : 0) << answered;
+    EXPECT_EQ(closedIdleConnections(fixture.at(6300, {fixture.request("p", 2)})), answered ? 1 : 0)
+        << answered;
   }
 }
 
--- a/tests/policy/dispatcher_fixture.h
+++ b/tests/policy/dispatcher_fixture.h
@@ -1,4 +1,5 @@
-// What the tests of the decision module share: settings, endpoints, and a dispatcher whose actions are noted.
+// Shared by the tests of the decision module: settings, endpoints, and a dispatcher whose actions are
+// recorded.
 #pragma once
 
 #include <algorithm>
@@ -12,96 +13,102 @@
 
 namespace myrtleloft {
 
-inline ClassSettings classOf(Idempotency repeat,
-                             DeduplicationScope group = DeduplicationScope::kDestination) {
-  ClassSettings c;
-  c.latencyObjectiveMs = 2000;
-  c.maxLifetimeMs = 20000;
-  c.lateWeight = 0.3;
-  c.idempotencyWindowMs = 8000;
-  c.idempotency = repeat;
-  c.deduplicationScope = group;
-  return c;
+inline ClassSettings classOf(Idempotency idempotency,
+                             DeduplicationScope scope = DeduplicationScope::kDestination) {
+  ClassSettings settings;
+  settings.latencyObjectiveMs = 2000;
+  settings.maxLifetimeMs = 20000;
+  settings.lateWeight = 0.3;
+  settings.idempotencyWindowMs = 8000;
+  settings.idempotency = idempotency;
+  settings.deduplicationScope = scope;
+  return settings;
 }
 
-inline Settings plainSettings(Idempotency repeat = Idempotency::kIdempotent, bool apart = true) {
-  Settings s;
-  s.seed = 1;
-  s.instanceCount = 1;
-  s.zone = 0;
-  s.batchIntervalMs = 5;
-  s.classes = {classOf(repeat)};
-  s.maxConcurrentCalls = 20;
-  s.maxPendingRequests = 200;
-  s.maxAttempts = 6;
-  s.maxRetryAfterMs = 3000;
-  s.connectTimeoutMs = 1000;
-  s.kindHasSeparateLimits = {apart};
-  s.kindBatchSize = {1};
-  s.listRetryMs = 10000;
-  s.slowStartShare = 0.2;
-  s.slowStartMs = 10000;
-  s.overloadFactor = 2;
-  s.overloadWindowMs = 2000;
-  return s;
+inline Settings plainSettings(Idempotency idempotency = Idempotency::kIdempotent,
+                              bool separateLimits = true) {
+  Settings settings;
+  settings.seed = 1;
+  settings.instanceCount = 1;
+  settings.zone = 0;
+  settings.batchIntervalMs = 5;
+  settings.classes = {classOf(idempotency)};
+  settings.maxConcurrentCalls = 20;
+  settings.maxPendingRequests = 200;
+  settings.maxAttempts = 6;
+  settings.maxRetryAfterMs = 3000;
+  settings.connectTimeoutMs = 1000;
+  settings.kindHasSeparateLimits = {separateLimits};
+  settings.kindBatchSize = {1};
+  settings.listRetryMs = 10000;
+  settings.slowStartShare = 0.2;
+  settings.slowStartMs = 10000;
+  settings.overloadFactor = 2;
+  settings.overloadWindowMs = 2000;
+  return settings;
 }
 
-inline EndpointInfo entry(const std::string& target, std::int64_t dest = 1, int zone = 0,
+inline EndpointInfo entry(const std::string& endpoint, std::int64_t destination = 1, int zone = 0,
                           EndpointState state = EndpointState::kRunning) {
-  return {target, zone, 0, dest, state, 1};
+  return {endpoint, zone, 0, destination, state, 1};
 }
 
-// Plays batches against one dispatcher and keeps what it did.
+// Runs batches on one dispatcher and records its actions.
 struct DispatcherFixture {
-  explicit DispatcherFixture(const Settings& s) : d(s) {}
-  std::vector<Action> at(double t, std::vector<Event> events = {}) {
-    now = t;
-    auto actions = d.onBatch(t, events);
-    for (const auto& a : actions) {
-      if (const auto* s = std::get_if<SendAction>(&a)) {
-        sends.push_back(*s);
-        attempts[s->id]++;
-        inFlight.push_back(s->id);
+  explicit DispatcherFixture(const Settings& settings) : dispatcher(settings) {}
+  // Runs a batch at `nowMs` and returns its actions.
+  std::vector<Action> at(double nowMs, std::vector<Event> events = {}) {
+    now = nowMs;
+    auto actions = dispatcher.onBatch(nowMs, events);
+    for (const auto& action : actions) {
+      if (const auto* send = std::get_if<SendAction>(&action)) {
+        sends.push_back(*send);
+        attempts[send->id]++;
+        inFlight.push_back(send->id);
       }
-      if (const auto* r = std::get_if<RejectAction>(&a)) refused.push_back(r->id);
-      if (const auto* f = std::get_if<FailAction>(&a)) failed.push_back(f->id);
+      if (const auto* reject = std::get_if<RejectAction>(&action)) rejected.push_back(reject->id);
+      if (const auto* fail = std::get_if<FailAction>(&action)) failed.push_back(fail->id);
     }
     return actions;
   }
-  Event message(const std::string& id, std::int64_t dest = 1, int cls = 0, const std::string& key = "") {
-    RequestEvent m;
-    m.id = id;
-    m.classIndex = cls;
-    m.destination = dest;
-    m.deadlineMs = now + 20000;
-    m.orderKey = key;
-    return m;
+  // A request that arrives at the time of the last batch, with a deadline 20 s later.
+  Event request(const std::string& id, std::int64_t destination = 1, int classIndex = 0,
+                const std::string& orderKey = "") {
+    RequestEvent event;
+    event.id = id;
+    event.classIndex = classIndex;
+    event.destination = destination;
+    event.deadlineMs = now + 20000;
+    event.orderKey = orderKey;
+    return event;
   }
-  Event outcome(const std::string& id, Outcome o, std::int64_t detail = 0) {
-    OutcomeEvent e;
-    e.id = id;
-    e.attempt = attempts[id] - 1;
-    e.outcome = o;
-    e.retryAfterMs = detail;
-    e.completed = o == Outcome::kSuccess;
-    for (const auto& s : sends)
-      if (s.id == id) e.endpoint = s.endpoint;
-    return e;
+  // The outcome of the newest attempt of the request.
+  Event outcome(const std::string& id, Outcome result, std::int64_t retryAfterMs = 0) {
+    OutcomeEvent event;
+    event.id = id;
+    event.attempt = attempts[id] - 1;
+    event.outcome = result;
+    event.retryAfterMs = retryAfterMs;
+    event.completed = result == Outcome::kSuccess;
+    for (const auto& send : sends)
+      if (send.id == id) event.endpoint = send.endpoint;
+    return event;
   }
-  // Lets time pass in steps until `until`, answering nothing.
-  void pass(double until, double step = 50) {
-    for (double t = now + step; t <= until; t += step) at(t);
+  // Runs batches without events, `stepMs` apart, up to `untilMs`.
+  void advanceTo(double untilMs, double stepMs = 50) {
+    for (double nowMs = now + stepMs; nowMs <= untilMs; nowMs += stepMs) at(nowMs);
   }
+  // Number of attempts of the request.
   int sendsOf(const std::string& id) const {
     return static_cast<int>(
-        std::count_if(sends.begin(), sends.end(), [&](const auto& s) { return s.id == id; }));
+        std::count_if(sends.begin(), sends.end(), [&](const auto& send) { return send.id == id; }));
   }
-  Dispatcher d;
-  double now = 0;
+  Dispatcher dispatcher;
+  double now = 0;  // time of the last batch, in ms
   std::vector<SendAction> sends;
   std::map<std::string, int> attempts;
-  std::vector<std::string> refused, failed;
-  std::vector<std::string> inFlight;  // sent; whoever answers the calls empties it
+  std::vector<std::string> rejected, failed;
+  std::vector<std::string> inFlight;  // requests sent; a test that adds their outcomes clears it
 };
 
 inline std::string numbered(int i) { return std::string("m").append(std::to_string(i)); }
@@ -110,16 +117,18 @@
   return {ListUpdateKind::kSnapshot, std::move(entries)};
 }
 
-inline Settings priced(int batch) {
-  Settings s = plainSettings();
-  s.kindBatchSize = {batch};
-  s.zoneCosts = {0, 0.06};
-  s.ratingKind = RatingKind::kNominal;
-  return s;
+// Settings by which an endpoint in zone 1 costs more than one in zone 0.
+inline Settings settingsWithZoneCosts(int batchSize) {
+  Settings settings = plainSettings();
+  settings.kindBatchSize = {batchSize};
+  settings.zoneCosts = {0, 0.06};
+  settings.ratingKind = RatingKind::kNominal;
+  return settings;
 }
-inline std::vector<EndpointInfo> leadAndDear(double leadPerS) {
+// Endpoint "a" in zone 0 and endpoint "b" in zone 1.
+inline std::vector<EndpointInfo> cheapAndExpensive(double rating) {
   std::vector<EndpointInfo> entries = {entry("a", 1, 0), entry("b", 1, 1)};
-  entries[0].rating = entries[1].rating = leadPerS;
+  entries[0].rating = entries[1].rating = rating;
   return entries;
 }
 
--- a/tests/policy/dispatcher_properties_test.cpp
+++ b/tests/policy/dispatcher_properties_test.cpp
@@ -1,4 +1,4 @@
-// The rules as properties of the decision module, over drawn scenarios (drawn_scenario.h).
+// Property tests: the decision module keeps all rules in randomly drawn scenarios (drawn_scenario.h).
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -10,34 +10,36 @@
 
 using myrtleloft::testing::DrawnScenario;
 
-// The days, by seed, of which some relay still overruns a cold return.
-constexpr std::array<std::uint64_t, 1> kOverrun = {798};
+// Seeds of the days on which a known fault lets the relays overload a recovering upstream.
+constexpr std::array<std::uint64_t, 1> kKnownOverloadSeeds = {798};
 
 TEST_CASE("every rule holds over 1,000 days of troubles, changes, restarts and strange events") {
-  std::size_t ends = 0, sends = 0, refusals = 0, repeats = 0, cold = 0;
+  std::size_t completions = 0, sends = 0, rejections = 0, repeatedAttempts = 0, coldArrivals = 0;
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
-    DrawnScenario world(seed, seed % 2 == 0);
-    const std::string fault = world.run();
-    // Not mended: see below. Without its guards 535 days have it.
-    const bool overrun = fault.find("a cold return is overrun") != fault.npos;
-    if (!overrun || std::find(kOverrun.begin(), kOverrun.end(), seed) == kOverrun.end())
-      CHECK_MESSAGE(fault == "", fault);
-    ends += world.ends, sends += world.sends, refusals += world.refusals, repeats += world.repeats;
-    cold += world.coldArrivals;
+    DrawnScenario scenario(seed, seed % 2 == 0);
+    const std::string violation = scenario.run();
+    // The known fault of the next test case. Without the guards of slow start, 535 of the days have it.
+    const bool overload = violation.find("a cold return is overrun") != violation.npos;
+    if (!overload ||
+        std::find(kKnownOverloadSeeds.begin(), kKnownOverloadSeeds.end(), seed) == kKnownOverloadSeeds.end())
+      CHECK_MESSAGE(violation == "", violation);
+    completions += scenario.completions, sends += scenario.sends, rejections += scenario.rejections,
+        repeatedAttempts += scenario.repeatedAttempts;
+    coldArrivals += scenario.coldArrivals;
   }
-  // It was a test of something.
-  CHECK(ends > 100000);
+  // Checks that the scenarios exercised what they are meant to test.
+  CHECK(completions > 100000);
   CHECK(sends > 100000);
-  CHECK(refusals > 1000);
-  CHECK(repeats > 1000);
-  CHECK(cold > 1000);
+  CHECK(rejections > 1000);
+  CHECK(repeatedAttempts > 1000);
+  CHECK(coldArrivals > 1000);
 }
 
-// Not mended: a bound that goes with the first answer after a short trouble, and seven requests waiting. What
-// prevented it cost 1.3% or more of what two relays deliver (docs/bench/cold-returns.md).
+// Known fault: the first success after a brief outage ends the bound on the rate while seven requests wait.
+// Measures that prevent it reduced the deliveries of two relays by 1.3% or more (docs/bench/cold-returns.md).
 TEST_CASE("no drawn day overruns a cold return") {
-  for (const std::uint64_t seed : kOverrun) {
-    const std::string fault = DrawnScenario(seed, seed % 2 == 0).run();
-    CHECK_MESSAGE(fault == "", fault);
+  for (const std::uint64_t seed : kKnownOverloadSeeds) {
+    const std::string violation = DrawnScenario(seed, seed % 2 == 0).run();
+    CHECK_MESSAGE(violation == "", violation);
   }
 }
--- a/tests/policy/drawn_scenario.cpp
+++ b/tests/policy/drawn_scenario.cpp
@@ -1,4 +1,4 @@
-// How a drawn scenario begins, the batches of its relays, and what becomes of their calls.
+// Set-up of a drawn scenario, the batches of its relays, and the outcomes of their calls.
 #include "tests/policy/drawn_scenario.h"
 
 #include <algorithm>
@@ -17,8 +17,8 @@
 
 namespace myrtleloft::testing {
 
-DrawnScenario::DrawnScenario(std::uint64_t seed, bool hostile)
-    : seed_(seed), random_(seed), hostile_(hostile) {
+DrawnScenario::DrawnScenario(std::uint64_t seed, bool invalidEvents)
+    : seed_(seed), random_(seed), invalidEvents_(invalidEvents) {
   settings_.instanceCount = 1 + random_.below(3);
   settings_.zone = random_.below(2);
   settings_.batchIntervalMs = kTickMs;
@@ -39,17 +39,17 @@
   settings_.orderHoldAfterAmbiguityMs = 400;
   settings_.weightDecay = WeightDecay::kHalving;
   settings_.ratingKind = random_.chance(0.6) ? RatingKind::kRough : RatingKind::kNone;
-  const auto add = [&](Idempotency repeat, DeduplicationScope group, double limitMs, double spanMs,
+  const auto add = [&](Idempotency idempotency, DeduplicationScope scope, double limitMs, double spanMs,
                        double weight) {
-    ClassSettings c;
-    c.idempotency = repeat;
-    c.deduplicationScope = group;
-    c.latencyObjectiveMs = 2000;
-    c.maxLifetimeMs = limitMs;
-    c.idempotencyWindowMs = spanMs;
-    c.priorityWeight = weight;
-    c.lateWeight = 0.5;
-    settings_.classes.push_back(c);
+    ClassSettings classSettings;
+    classSettings.idempotency = idempotency;
+    classSettings.deduplicationScope = scope;
+    classSettings.latencyObjectiveMs = 2000;
+    classSettings.maxLifetimeMs = limitMs;
+    classSettings.idempotencyWindowMs = spanMs;
+    classSettings.priorityWeight = weight;
+    classSettings.lateWeight = 0.5;
+    settings_.classes.push_back(classSettings);
   };
   add(Idempotency::kIdempotent, DeduplicationScope::kDestination, 16000, 5000, 1);
   add(Idempotency::kIdempotentWithKey, DeduplicationScope::kDestination, 28000, 15000, 2);
@@ -61,180 +61,186 @@
 }
 
 std::string DrawnScenario::run() {
-  for (now_ = 0; now_ < kLastMs && fault_.empty(); now_ += kTickMs) {
-    if (now_ < kDayMs) addEvents();
-    for (std::size_t i = 0; i < relays_.size() && fault_.empty(); ++i) runBatch(i);
+  for (now_ = 0; now_ < kEndMs && violation_.empty(); now_ += kTickMs) {
+    if (now_ < kLastArrivalMs) addEvents();
+    for (std::size_t i = 0; i < relays_.size() && violation_.empty(); ++i) runBatch(i);
   }
-  if (fault_.empty())
-    for (const Relay& f : relays_)
-      if (!f.rules->allCompleted()) fault_ = "a message without its end";
-  return fault_.empty() ? "" : "seed " + std::to_string(seed_) + ": " + fault_;
+  if (violation_.empty())
+    for (const Relay& relay : relays_)
+      if (!relay.checker->allCompleted()) violation_ = "a request was never completed";
+  return violation_.empty() ? "" : "seed " + std::to_string(seed_) + ": " + violation_;
 }
 
 void DrawnScenario::build() {
   const int destinations = 2 + random_.below(3);
-  for (int d = 1; d <= destinations; ++d) {
+  for (int destination = 1; destination <= destinations; ++destination) {
     const int kind = random_.below(2);
-    const bool apart = settings_.kindHasSeparateLimits[static_cast<std::size_t>(kind)];
+    const bool separateLimits = settings_.kindHasSeparateLimits[static_cast<std::size_t>(kind)];
     const int endpoints = 1 + random_.below(3);
-    for (int e = 0; e < endpoints; ++e) {
-      if (e == 0 || apart) addReceiver();
-      place(d, kind);
+    for (int number = 0; number < endpoints; ++number) {
+      if (number == 0 || separateLimits) addUpstream();
+      addEndpoint(destination, kind);
     }
   }
-  load_ = random_.between(0.3, 0.75);
+  loadShare_ = random_.between(0.3, 0.75);
   for (int i = 0; i < settings_.instanceCount; ++i) {
-    Relay& f = relays_.emplace_back();
-    start(f, i);
-    notify(f, {ListUpdateKind::kCached, completeList()}, 0);
+    Relay& relay = relays_.emplace_back();
+    start(relay, i);
+    notify(relay, {ListUpdateKind::kCached, completeList()}, 0);
   }
 }
 
-void DrawnScenario::place(std::int64_t destination, int kind) {
-  Place p;
-  p.target = "e" + std::to_string(++lastPlace_);
-  p.destination = destination;
-  p.zone = random_.below(2);
-  p.kind = kind;
-  p.receiver = receivers_.size() - 1;
-  places_.push_back(p);
-  everPlaced_[p.target] = p;
+void DrawnScenario::addEndpoint(std::int64_t destination, int kind) {
+  ListedEndpoint listed;
+  listed.endpointId = "e" + std::to_string(++lastEndpoint_);
+  listed.destination = destination;
+  listed.zone = random_.below(2);
+  listed.kind = kind;
+  listed.upstream = upstreams_.size() - 1;
+  listed_.push_back(listed);
+  everListed_[listed.endpointId] = listed;
 }
 
-void DrawnScenario::addReceiver() {
-  Receiver& r = receivers_.emplace_back();
-  r.perS = random_.between(2.5, 9);
-  r.tookMs = random_.between(60, 260);
-  r.statesRetryAfter = random_.chance(0.5);
+void DrawnScenario::addUpstream() {
+  Upstream& upstream = upstreams_.emplace_back();
+  upstream.callsPerSecond = random_.between(2.5, 9);
+  upstream.latencyMs = random_.between(60, 260);
+  upstream.statesRetryAfter = random_.chance(0.5);
   if (random_.chance(0.6)) {
-    constexpr Receiver::Fault kAll[] = {Receiver::Fault::kDown, Receiver::Fault::kSilent,
-                                        Receiver::Fault::kShut, Receiver::Fault::kFailing};
-    r.fault = kAll[random_.below(4)];
-    r.fromMs = random_.between(12000, 25000);
-    r.toMs = r.fromMs + random_.between(6000, 14000);
+    constexpr Upstream::Fault kAll[] = {Upstream::Fault::kDown, Upstream::Fault::kSilent,
+                                        Upstream::Fault::kShut, Upstream::Fault::kFailing};
+    upstream.fault = kAll[random_.below(4)];
+    upstream.outageStartMs = random_.between(12000, 25000);
+    upstream.outageEndMs = upstream.outageStartMs + random_.between(6000, 14000);
   }
 }
 
 std::vector<EndpointInfo> DrawnScenario::completeList() const {
   std::vector<EndpointInfo> all;
-  for (const Place& p : places_) all.push_back(entryOf(p));
+  for (const ListedEndpoint& listed : listed_) all.push_back(entryFor(listed));
   return all;
 }
 
-void DrawnScenario::start(Relay& f, int number) {
-  Settings s = settings_;
-  s.instanceIndex = number;
-  s.seed = seed_ * 1000 + static_cast<std::uint64_t>(number) + 100 * ++starts_;
-  f.startedMs = now_;
-  f.module = std::make_unique<Dispatcher>(s);
-  if (!f.rules) f.rules = std::make_unique<InvariantChecker>(s);
+void DrawnScenario::start(Relay& relay, int number) {
+  Settings settings = settings_;
+  settings.instanceIndex = number;
+  settings.seed = seed_ * 1000 + static_cast<std::uint64_t>(number) + 100 * ++starts_;
+  relay.startedMs = now_;
+  relay.dispatcher = std::make_unique<Dispatcher>(settings);
+  if (!relay.checker) relay.checker = std::make_unique<InvariantChecker>(settings);
 }
 
 void DrawnScenario::runBatch(std::size_t i) {
-  Relay& f = relays_[i];
+  Relay& relay = relays_[i];
   std::vector<Event> events;
-  while (!f.agenda.empty() && f.agenda.begin()->first <= now_) {
-    events.push_back(std::move(f.agenda.begin()->second));
-    f.agenda.erase(f.agenda.begin());
+  while (!relay.scheduledEvents.empty() && relay.scheduledEvents.begin()->first <= now_) {
+    events.push_back(std::move(relay.scheduledEvents.begin()->second));
+    relay.scheduledEvents.erase(relay.scheduledEvents.begin());
   }
   if (events.empty()) return;
-  f.rules->begin(now_);
-  for (const Event& e : events) f.rules->observe(e);
+  relay.checker->begin(now_);
+  for (const Event& event : events) relay.checker->observe(event);
   std::vector<std::pair<SendAction, int>> sent;
-  for (const Action& a : f.module->onBatch(now_, events)) {
-    f.rules->observe(a);
-    if (!f.rules->fault.empty()) break;
-    if (const auto* timer = std::get_if<TimerAction>(&a))
-      f.agenda.emplace(now_ + std::max(kTickMs, std::ceil(timer->delayMs / kTickMs) * kTickMs),
-                       TimerEvent{timer->token});
-    if (const auto* send = std::get_if<SendAction>(&a))
-      sent.emplace_back(*send, f.rules->attemptsOf(send->id) - 1);
+  for (const Action& action : relay.dispatcher->onBatch(now_, events)) {
+    relay.checker->observe(action);
+    if (!relay.checker->violation.empty()) break;
+    if (const auto* timer = std::get_if<TimerAction>(&action))
+      relay.scheduledEvents.emplace(now_ + std::max(kTickMs, std::ceil(timer->delayMs / kTickMs) * kTickMs),
+                                    TimerEvent{timer->token});
+    if (const auto* send = std::get_if<SendAction>(&action))
+      sent.emplace_back(*send, relay.checker->attemptsOf(send->id) - 1);
   }
-  f.rules->finish();
-  if (!f.rules->fault.empty()) {
-    fault_ = "forwarder " + std::to_string(i) + ": " + f.rules->fault;
+  relay.checker->finish();
+  if (!relay.checker->violation.empty()) {
+    violation_ = "relay " + std::to_string(i) + ": " + relay.checker->violation;
     return;
   }
-  std::map<std::string, std::vector<std::pair<SendAction, int>>> byTarget;
-  for (auto& one : sent) byTarget[one.first.endpoint].push_back(std::move(one));
-  for (const auto& [target, items] : byTarget) call(f, everPlaced_.at(target), items);
-  ends += std::exchange(f.rules->ends, 0);
-  sends += std::exchange(f.rules->sends, 0);
-  refusals += std::exchange(f.rules->refusals, 0);
-  repeats += std::exchange(f.rules->repeats, 0);
+  std::map<std::string, std::vector<std::pair<SendAction, int>>> byEndpoint;
+  for (auto& sendAndAttempt : sent)
+    byEndpoint[sendAndAttempt.first.endpoint].push_back(std::move(sendAndAttempt));
+  for (const auto& [endpointId, items] : byEndpoint) call(relay, everListed_.at(endpointId), items);
+  completions += std::exchange(relay.checker->completions, 0);
+  sends += std::exchange(relay.checker->sends, 0);
+  rejections += std::exchange(relay.checker->rejections, 0);
+  repeatedAttempts += std::exchange(relay.checker->repeatedAttempts, 0);
 }
 
-void DrawnScenario::call(Relay& f, const Place& place, const std::vector<std::pair<SendAction, int>>& items) {
-  const auto batch = static_cast<std::size_t>(settings_.kindBatchSize[static_cast<std::size_t>(place.kind)]);
+void DrawnScenario::call(Relay& relay, const ListedEndpoint& endpoint,
+                         const std::vector<std::pair<SendAction, int>>& items) {
+  const auto batch =
+      static_cast<std::size_t>(settings_.kindBatchSize[static_cast<std::size_t>(endpoint.kind)]);
   for (std::size_t first = 0; first < items.size(); first += batch) {
     const std::size_t last = std::min(items.size(), first + batch);
-    Receiver& r = receivers_[place.receiver];
-    const auto sawFailure = f.failedAt.find(place.receiver);
-    arrive(r, sawFailure != f.failedAt.end() && sawFailure->second < now_);
-    const auto [outcome, tookMs, waitMs] = fate(r);
+    Upstream& upstream = upstreams_[endpoint.upstream];
+    const auto sawFailure = relay.failedAt.find(endpoint.upstream);
+    recordArrival(upstream, sawFailure != relay.failedAt.end() && sawFailure->second < now_);
+    const auto [outcome, latencyMs, retryAfterMs] = drawOutcome(upstream);
     for (std::size_t i = first; i < last; ++i) {
       const auto& [send, attempt] = items[i];
-      OutcomeEvent e;
-      e.id = send.id;
-      e.attempt = attempt;
-      e.endpoint = send.endpoint;
-      e.outcome = outcome;
-      e.retryAfterMs = waitMs;
-      if (send.timeoutMs < tookMs) e.outcome = Outcome::kTimeout, e.retryAfterMs = 0;
-      e.completed = e.outcome == Outcome::kSuccess;
-      const double atMs = std::floor((now_ + std::min(send.timeoutMs, tookMs)) / kTickMs + 1) * kTickMs;
-      f.agenda.emplace(atMs, e);
-      if (!r.out(now_) || e.completed) continue;
-      double& firstMs = f.failedAt.try_emplace(place.receiver, atMs).first->second;
+      OutcomeEvent event;
+      event.id = send.id;
+      event.attempt = attempt;
+      event.endpoint = send.endpoint;
+      event.outcome = outcome;
+      event.retryAfterMs = retryAfterMs;
+      if (send.timeoutMs < latencyMs) event.outcome = Outcome::kTimeout, event.retryAfterMs = 0;
+      event.completed = event.outcome == Outcome::kSuccess;
+      const double atMs = std::floor((now_ + std::min(send.timeoutMs, latencyMs)) / kTickMs + 1) * kTickMs;
+      relay.scheduledEvents.emplace(atMs, event);
+      if (!upstream.inOutage(now_) || event.completed) continue;
+      double& firstMs = relay.failedAt.try_emplace(endpoint.upstream, atMs).first->second;
       firstMs = std::min(firstMs, atMs);
     }
   }
 }
 
-DrawnScenario::Fate DrawnScenario::fate(Receiver& r) {
-  const double took = random_.between(0.5, 1.5) * r.tookMs;
-  if (r.out(now_)) {
-    switch (r.fault) {
-      case Receiver::Fault::kDown:
+DrawnScenario::DrawnOutcome DrawnScenario::drawOutcome(Upstream& upstream) {
+  const double callLatencyMs = random_.between(0.5, 1.5) * upstream.latencyMs;
+  if (upstream.inOutage(now_)) {
+    switch (upstream.fault) {
+      case Upstream::Fault::kDown:
         return {Outcome::kConnectFailed, random_.chance(0.5) ? 20.0 : 1500.0, 0};
-      case Receiver::Fault::kSilent:
+      case Upstream::Fault::kSilent:
         return {Outcome::kTimeout, 1e9, 0};
-      case Receiver::Fault::kShut:
-        return {Outcome::kRejected, 30, r.statesRetryAfter ? 300 + random_.below(700) : 0};
-      case Receiver::Fault::kFailing:
-        if (random_.chance(0.85)) return {Outcome::kFailure, took, 0};
+      case Upstream::Fault::kShut:
+        return {Outcome::kRejected, 30, upstream.statesRetryAfter ? 300 + random_.below(700) : 0};
+      case Upstream::Fault::kFailing:
+        if (random_.chance(0.85)) return {Outcome::kFailure, callLatencyMs, 0};
         break;
-      case Receiver::Fault::kNone:
+      case Upstream::Fault::kNone:
         break;
     }
   }
   const int second = static_cast<int>(now_ / 1000);
-  if (second != r.second) r.second = second, r.inSecond = 0;
-  if (++r.inSecond > std::max(1.0, r.perS))
-    return {Outcome::kRejected, 30, r.statesRetryAfter ? (second + 1) * 1000 - static_cast<int>(now_) : 0};
-  if (random_.chance(0.004)) return {Outcome::kReset, took, 0};
-  if (random_.chance(0.004)) return {Outcome::kFailure, took, 0};
-  return {Outcome::kSuccess, took, 0};
+  if (second != upstream.second) upstream.second = second, upstream.callsInSecond = 0;
+  if (++upstream.callsInSecond > std::max(1.0, upstream.callsPerSecond))
+    return {Outcome::kRejected, 30,
+            upstream.statesRetryAfter ? (second + 1) * 1000 - static_cast<int>(now_) : 0};
+  if (random_.chance(0.004)) return {Outcome::kReset, callLatencyMs, 0};
+  if (random_.chance(0.004)) return {Outcome::kFailure, callLatencyMs, 0};
+  return {Outcome::kSuccess, callLatencyMs, 0};
 }
 
-void DrawnScenario::arrive(Receiver& r, bool sawFailure) {
-  if (now_ < r.toMs || now_ > r.toMs + settings_.slowStartMs) return;
+void DrawnScenario::recordArrival(Upstream& upstream, bool sawFailure) {
+  if (now_ < upstream.outageEndMs || now_ > upstream.outageEndMs + settings_.slowStartMs) return;
   ++coldArrivals;
-  r.window.push_back({now_, sawFailure});
-  while (r.window.front().atMs <= now_ - settings_.overloadWindowMs) r.window.pop_front();
-  const double fromMs = std::max(r.toMs, now_ - settings_.overloadWindowMs);
-  double takes = 0;
-  for (double t = fromMs; t < fromMs + settings_.overloadWindowMs; t += 50)
-    takes += r.perS * 0.05 * settings_.overloadFactor *
-             std::min(1.0, settings_.slowStartShare +
-                               (1 - settings_.slowStartShare) * (t - r.toMs) / settings_.slowStartMs);
-  const auto all = static_cast<double>(r.window.size());
-  const auto bySawFailure = static_cast<double>(
-      std::count_if(r.window.begin(), r.window.end(), [](const auto& a) { return a.sawFailure; }));
-  if (all > lab::coldBudget(takes) && 3 * bySawFailure >= 2 * all)
-    fault_ = "a cold return is overrun: " + std::to_string(r.window.size()) + " calls in " +
-             std::to_string(settings_.overloadWindowMs) + " ms up to " + std::to_string(now_) + ", " +
-             std::to_string(takes) + " are taken";
+  upstream.window.push_back({now_, sawFailure});
+  while (upstream.window.front().atMs <= now_ - settings_.overloadWindowMs) upstream.window.pop_front();
+  const double windowStartMs = std::max(upstream.outageEndMs, now_ - settings_.overloadWindowMs);
+  double expectedCalls = 0;
+  for (double atMs = windowStartMs; atMs < windowStartMs + settings_.overloadWindowMs; atMs += 50)
+    expectedCalls +=
+        upstream.callsPerSecond * 0.05 * settings_.overloadFactor *
+        std::min(1.0, settings_.slowStartShare + (1 - settings_.slowStartShare) *
+                                                     (atMs - upstream.outageEndMs) / settings_.slowStartMs);
+  const auto all = static_cast<double>(upstream.window.size());
+  const auto bySawFailure =
+      static_cast<double>(std::count_if(upstream.window.begin(), upstream.window.end(),
+                                        [](const auto& arrival) { return arrival.sawFailure; }));
+  if (all > lab::coldBudget(expectedCalls) && 3 * bySawFailure >= 2 * all)
+    violation_ = "a cold return is overrun: " + std::to_string(upstream.window.size()) + " calls in " +
+                 std::to_string(settings_.overloadWindowMs) + " ms up to " + std::to_string(now_) + ", " +
+                 std::to_string(expectedCalls) + " are taken";
 }
 
 }  // namespace myrtleloft::testing
--- a/tests/policy/invariant_checker.cpp
+++ b/tests/policy/invariant_checker.cpp
@@ -4,207 +4,224 @@
 
 void InvariantChecker::begin(double nowMs) {
   now_ = nowMs;
-  newRetryAfters_.clear();
-  callsNow_.clear();
+  newRetryAfterUntilMs_.clear();
+  callsInBatch_.clear();
 }
 
 void InvariantChecker::finish() {
-  for (const auto& [scope, untilMs] : newRetryAfters_) {
-    double& wait = retryAfters_[scope];
-    wait = std::max(wait, untilMs);
+  for (const auto& [scope, untilMs] : newRetryAfterUntilMs_) {
+    double& retryAfterUntilMs = retryAfterUntilMs_[scope];
+    retryAfterUntilMs = std::max(retryAfterUntilMs, untilMs);
   }
-  for (auto& [id, m] : requests_) {
-    if (m.over) continue;
-    // One whose outcome comes with this moment is answered in the batch that brings it.
-    if (now_ > m.deadlineMs + kAnswerSlackMs) broken("not answered in time", id);
-    if (m.out < 0 && exhausted(m)) broken("given up, and not answered at once", id);
+  for (auto& [id, request] : requests_) {
+    if (request.completed) continue;
+    // A request whose outcome arrives at this time is answered in the batch of that outcome.
+    if (now_ > request.deadlineMs + kAnswerSlackMs) reportViolation("not answered by its deadline", id);
+    if (request.attemptInFlight < 0 && exhausted(request))
+      reportViolation("not answered at once although no attempt is permitted", id);
   }
-  std::erase_if(requests_, [](const auto& m) { return m.second.over && m.second.out < 0; });
+  std::erase_if(requests_,
+                [](const auto& entry) { return entry.second.completed && entry.second.attemptInFlight < 0; });
 }
 
 std::vector<RequestEvent> InvariantChecker::restart() {
   std::vector<RequestEvent> pending;
-  for (auto& [id, m] : requests_) {
-    if (m.over) continue;
-    if (m.out >= 0) recordAmbiguous(m);
-    m.out = -1;
-    RequestEvent e;
-    e.id = id;
-    e.classIndex = m.cls;
-    e.destination = m.destination;
-    e.orderKey = m.key;
-    e.deadlineMs = m.deadlineMs;
-    e.attempts = m.attempts;
-    e.ambiguousAttempts = m.ambiguousAttempts;
-    pending.push_back(std::move(e));
+  for (auto& [id, request] : requests_) {
+    if (request.completed) continue;
+    if (request.attemptInFlight >= 0) recordAmbiguous(request);
+    request.attemptInFlight = -1;
+    RequestEvent event;
+    event.id = id;
+    event.classIndex = request.classIndex;
+    event.destination = request.destination;
+    event.orderKey = request.orderKey;
+    event.deadlineMs = request.deadlineMs;
+    event.attempts = request.attempts;
+    event.ambiguousAttempts = request.ambiguousAttempts;
+    pending.push_back(std::move(event));
   }
-  std::erase_if(requests_, [](const auto& m) { return m.second.over; });
+  std::erase_if(requests_, [](const auto& entry) { return entry.second.completed; });
   calls_.clear();
-  retryAfters_.clear();  // a restart ends a wait
+  retryAfterUntilMs_.clear();  // a restart discards Retry-After
   orderedQueues_.clear();
-  for (const RequestEvent& e : pending)
-    if (!requests_.at(e.id).key.empty()) orderedQueues_[requests_.at(e.id).key].ids.push_back(e.id);
+  for (const RequestEvent& event : pending)
+    if (!requests_.at(event.id).orderKey.empty())
+      orderedQueues_[requests_.at(event.id).orderKey].ids.push_back(event.id);
   return pending;
 }
 
-void InvariantChecker::broken(const std::string& rule, const std::string& id) {
-  if (fault.empty()) fault = rule + ": " + id + " at " + std::to_string(now_) + " ms";
+void InvariantChecker::reportViolation(const std::string& rule, const std::string& id) {
+  if (violation.empty()) violation = rule + ": " + id + " at " + std::to_string(now_) + " ms";
 }
 
-bool InvariantChecker::exhausted(const TrackedRequest& m) const {
-  const ClassSettings c = classOf(m);
-  if (m.attempts >= std::min(kMaxAttempts, s_.maxAttempts)) return true;
-  if (m.ambiguousAttempts.empty()) return false;
-  if (c.idempotency == Idempotency::kNonIdempotent) return true;
-  return c.idempotency == Idempotency::kIdempotentWithKey &&
-         now_ > m.ambiguousAttempts.front().sentMs + c.idempotencyWindowMs;
+bool InvariantChecker::exhausted(const TrackedRequest& request) const {
+  const ClassSettings classSettings = classOf(request);
+  if (request.attempts >= std::min(kMaxAttempts, settings_.maxAttempts)) return true;
+  if (request.ambiguousAttempts.empty()) return false;
+  if (classSettings.idempotency == Idempotency::kNonIdempotent) return true;
+  return classSettings.idempotency == Idempotency::kIdempotentWithKey &&
+         now_ > request.ambiguousAttempts.front().sentMs + classSettings.idempotencyWindowMs;
 }
 
-void InvariantChecker::on(const RequestEvent& e) {
-  if (requests_.count(e.id)) return;
-  TrackedRequest& m = requests_[e.id];
-  m.cls = e.classIndex;
-  m.destination = e.destination;
-  m.deadlineMs = std::max(e.deadlineMs, now_);
-  m.attempts = e.attempts;
-  m.ambiguousAttempts = e.ambiguousAttempts;
-  if (classOf(m).orderedByKey && !e.orderKey.empty()) {
-    m.key = e.orderKey;
-    orderedQueues_[m.key].ids.push_back(e.id);
+void InvariantChecker::on(const RequestEvent& event) {
+  if (requests_.count(event.id)) return;
+  TrackedRequest& request = requests_[event.id];
+  request.classIndex = event.classIndex;
+  request.destination = event.destination;
+  request.deadlineMs = std::max(event.deadlineMs, now_);
+  request.attempts = event.attempts;
+  request.ambiguousAttempts = event.ambiguousAttempts;
+  if (classOf(request).orderedByKey && !event.orderKey.empty()) {
+    request.orderKey = event.orderKey;
+    orderedQueues_[request.orderKey].ids.push_back(event.id);
   }
 }
 
-void InvariantChecker::on(const OutcomeEvent& e) {
-  const auto at = requests_.find(e.id);
-  if (at == requests_.end() || at->second.out < 0 || at->second.out != e.attempt) return;
-  TrackedRequest& m = at->second;
-  const bool knownNotExecuted = e.outcome == Outcome::kRejected || e.outcome == Outcome::kConnectFailed ||
-                                e.outcome == Outcome::kNotSent;
-  const bool unclear =
-      e.outcome == Outcome::kTimeout || e.outcome == Outcome::kReset || e.outcome == Outcome::kCancelled;
-  if (!knownNotExecuted && e.outcome != Outcome::kSuccess) recordAmbiguous(m);
-  if (unclear && !m.key.empty()) orderedQueues_[m.key].restUntilMs = now_ + s_.orderHoldAfterAmbiguityMs;
-  // A Retry-After applies from the batch on that follows the one that stated it.
-  if (e.outcome != Outcome::kNotSent && e.retryAfterMs > 0)
-    newRetryAfters_.emplace_back(upstreamOf(m.target), now_ + static_cast<double>(e.retryAfterMs));
-  m.out = -1;
-  if (--calls_.at(m.call) == 0) calls_.erase(m.call);
-  if (e.completed || e.outcome == Outcome::kSuccess) end(at->first, m);
-  if (m.over) leaveOrderedQueue(at->first, m);
-}
-
-void InvariantChecker::on(const EndpointListEvent& e) {
-  if (e.kind == ListUpdateKind::kError) return;
-  if (e.kind != ListUpdateKind::kDelta)
-    for (auto& [target, known] : endpoints_)
-      if (known.goneMs < 0) known.goneMs = now_;
-  for (const EndpointInfo& entry : e.entries) {
-    const auto [at, fresh] = endpoints_.try_emplace(entry.endpoint);
-    KnownEndpoint& k = at->second;
-    if (fresh) k.destination = entry.destination, k.kind = entry.kind;
-    k.zone = entry.zone;
+void InvariantChecker::on(const OutcomeEvent& event) {
+  const auto at = requests_.find(event.id);
+  if (at == requests_.end() || at->second.attemptInFlight < 0 || at->second.attemptInFlight != event.attempt)
+    return;
+  TrackedRequest& request = at->second;
+  const bool knownNotExecuted = event.outcome == Outcome::kRejected ||
+                                event.outcome == Outcome::kConnectFailed ||
+                                event.outcome == Outcome::kNotSent;
+  const bool outcomeUnknown = event.outcome == Outcome::kTimeout || event.outcome == Outcome::kReset ||
+                              event.outcome == Outcome::kCancelled;
+  if (!knownNotExecuted && event.outcome != Outcome::kSuccess) recordAmbiguous(request);
+  if (outcomeUnknown && !request.orderKey.empty())
+    orderedQueues_[request.orderKey].pausedUntilMs = now_ + settings_.orderHoldAfterAmbiguityMs;
+  // A Retry-After applies from the batch after the one that stated it.
+  if (event.outcome != Outcome::kNotSent && event.retryAfterMs > 0)
+    newRetryAfterUntilMs_.emplace_back(upstreamOf(request.endpointId),
+                                       now_ + static_cast<double>(event.retryAfterMs));
+  request.attemptInFlight = -1;
+  if (--calls_.at(request.call) == 0) calls_.erase(request.call);
+  if (event.completed || event.outcome == Outcome::kSuccess) complete(at->first, request);
+  if (request.completed) removeFromOrderedQueue(at->first, request);
+}
+
+void InvariantChecker::on(const EndpointListEvent& event) {
+  if (event.kind == ListUpdateKind::kError) return;
+  if (event.kind != ListUpdateKind::kDelta)
+    for (auto& [endpointId, known] : endpoints_)
+      if (known.closedAtMs < 0) known.closedAtMs = now_;
+  for (const EndpointInfo& entry : event.entries) {
+    const auto [at, isNew] = endpoints_.try_emplace(entry.endpoint);
+    KnownEndpoint& known = at->second;
+    if (isNew) known.destination = entry.destination, known.kind = entry.kind;
+    known.zone = entry.zone;
     if (entry.state == EndpointState::kRunning)
-      k.goneMs = -1;
-    else if (k.goneMs < 0)
-      k.goneMs = now_;
+      known.closedAtMs = -1;
+    else if (known.closedAtMs < 0)
+      known.closedAtMs = now_;
   }
 }
 
-void InvariantChecker::on(const ClientDisconnectEvent& e) {
-  const auto at = requests_.find(e.id);
+void InvariantChecker::on(const ClientDisconnectEvent& event) {
+  const auto at = requests_.find(event.id);
   if (at == requests_.end()) return;
-  at->second.over = true;
-  leaveOrderedQueue(at->first, at->second);
+  at->second.completed = true;
+  removeFromOrderedQueue(at->first, at->second);
 }
 
-void InvariantChecker::end(const std::string& id, TrackedRequest& m) {
-  if (m.over) return;
-  ++ends;
-  m.over = true;
-  if (now_ > m.deadlineMs + kAnswerSlackMs) broken("ended too late", id);
+void InvariantChecker::complete(const std::string& id, TrackedRequest& request) {
+  if (request.completed) return;
+  ++completions;
+  request.completed = true;
+  if (now_ > request.deadlineMs + kAnswerSlackMs) reportViolation("completed after its deadline", id);
 }
 
-void InvariantChecker::leaveOrderedQueue(const std::string& id, const TrackedRequest& m) {
-  if (m.key.empty() || m.out >= 0) return;
-  std::erase(orderedQueues_[m.key].ids, id);
+void InvariantChecker::removeFromOrderedQueue(const std::string& id, const TrackedRequest& request) {
+  if (request.orderKey.empty() || request.attemptInFlight >= 0) return;
+  std::erase(orderedQueues_[request.orderKey].ids, id);
 }
 
-void InvariantChecker::on(const SendAction& a) {
-  const auto at = requests_.find(a.id);
-  if (at == requests_.end() || at->second.over) return broken("a send after the end", a.id);
-  const auto to = endpoints_.find(a.endpoint);
-  if (to == endpoints_.end()) return broken("a send to an endpoint of no list", a.id);
-  TrackedRequest& m = at->second;
-  const ClassSettings c = classOf(m);
+void InvariantChecker::on(const SendAction& action) {
+  const auto at = requests_.find(action.id);
+  if (at == requests_.end() || at->second.completed)
+    return reportViolation("send after completion", action.id);
+  const auto endpoint = endpoints_.find(action.endpoint);
+  if (endpoint == endpoints_.end()) return reportViolation("send to an unknown endpoint", action.id);
+  TrackedRequest& request = at->second;
+  const ClassSettings classSettings = classOf(request);
   ++sends;
-  if (m.out >= 0) return broken("two attempts out at once", a.id);
-  if (to->second.destination != m.destination) broken("a send to another destination", a.id);
-  if (to->second.goneMs >= 0 && now_ >= to->second.goneMs + kDrainMs)
-    broken("a send to what drains or is gone", a.id);
-  if (!m.ambiguousAttempts.empty()) {
-    ++repeats;
-    if (c.idempotency == Idempotency::kNonIdempotent) broken("a repeat of what may run once", a.id);
-    if (c.idempotency == Idempotency::kIdempotentWithKey) {
-      if (now_ > m.ambiguousAttempts.front().sentMs + c.idempotencyWindowMs)
-        broken("a repeat outside its window", a.id);
-      for (const AmbiguousAttempt& d : m.ambiguousAttempts)
-        if (c.deduplicationScope == DeduplicationScope::kZone && d.zone != to->second.zone)
-          broken("a repeat outside its group", a.id);
+  if (request.attemptInFlight >= 0) return reportViolation("two attempts in flight at once", action.id);
+  if (endpoint->second.destination != request.destination)
+    reportViolation("send to another destination", action.id);
+  if (endpoint->second.closedAtMs >= 0 && now_ >= endpoint->second.closedAtMs + kDrainMs)
+    reportViolation("send to a draining or removed endpoint", action.id);
+  if (!request.ambiguousAttempts.empty()) {
+    ++repeatedAttempts;
+    if (classSettings.idempotency == Idempotency::kNonIdempotent)
+      reportViolation("repeated attempt of a non-idempotent request", action.id);
+    if (classSettings.idempotency == Idempotency::kIdempotentWithKey) {
+      if (now_ > request.ambiguousAttempts.front().sentMs + classSettings.idempotencyWindowMs)
+        reportViolation("repeated attempt outside the idempotency window", action.id);
+      for (const AmbiguousAttempt& earlier : request.ambiguousAttempts)
+        if (classSettings.deduplicationScope == DeduplicationScope::kZone &&
+            earlier.zone != endpoint->second.zone)
+          reportViolation("repeated attempt outside the deduplication scope", action.id);
     }
   }
-  if (m.ambiguousAttempts.size() >= kMaxAmbiguousAttempts)
-    broken("a fourth call where three may have run", a.id);
-  if (const auto wait = retryAfters_.find(upstreamOf(a.endpoint));
-      wait != retryAfters_.end() && now_ < wait->second)
-    broken("a send before a Retry-After is over", a.id);
-  if (!m.key.empty() && m.attempts == 0) {
-    const OrderedQueue& line = orderedQueues_[m.key];
-    if (line.ids.front() != a.id) broken("a send out of order", a.id);
-    if (now_ < line.restUntilMs) broken("a send before its key has rested", a.id);
+  if (request.ambiguousAttempts.size() >= kMaxAmbiguousAttempts)
+    reportViolation("attempt after the maximum number of ambiguous attempts", action.id);
+  if (const auto retryAfterUntilMs = retryAfterUntilMs_.find(upstreamOf(action.endpoint));
+      retryAfterUntilMs != retryAfterUntilMs_.end() && now_ < retryAfterUntilMs->second)
+    reportViolation("send before a Retry-After has ended", action.id);
+  if (!request.orderKey.empty() && request.attempts == 0) {
+    const OrderedQueue& orderedQueue = orderedQueues_[request.orderKey];
+    if (orderedQueue.ids.front() != action.id) reportViolation("send out of order", action.id);
+    if (now_ < orderedQueue.pausedUntilMs) reportViolation("send while its order key is paused", action.id);
   }
-  if (now_ > m.deadlineMs) broken("a send after its time", a.id);
-  // Sends of one reply to one endpoint share a call, as far as its kind allows.
-  const int kind = to->second.kind;
-  const bool bulk = kind >= 0 && static_cast<std::size_t>(kind) < s_.kindBatchSize.size();
-  const int batch = bulk ? std::max(1, s_.kindBatchSize[static_cast<std::size_t>(kind)]) : 1;
-  auto& [call, size] = callsNow_.try_emplace(a.endpoint, -1, 0).first->second;
+  if (now_ > request.deadlineMs) reportViolation("send after its deadline", action.id);
+  // Attempts of one batch at the same endpoint share calls up to the batch size of its kind.
+  const int kind = endpoint->second.kind;
+  const bool hasBatchSize = kind >= 0 && static_cast<std::size_t>(kind) < settings_.kindBatchSize.size();
+  const int batch = hasBatchSize ? std::max(1, settings_.kindBatchSize[static_cast<std::size_t>(kind)]) : 1;
+  auto& [call, size] = callsInBatch_.try_emplace(action.endpoint, -1, 0).first->second;
   if (size % batch == 0) call = ++lastCall_;
   ++size;
   ++calls_[call];
-  if (s_.maxConcurrentCalls > 0 && calls_.size() > static_cast<std::size_t>(s_.maxConcurrentCalls))
-    broken("more calls out than slots", a.id);
-  m.target = a.endpoint;
-  m.zone = to->second.zone;
-  m.sentMs = now_;
-  m.call = call;
-  m.out = m.attempts++;
-  if (m.attempts > std::min(kMaxAttempts, s_.maxAttempts)) broken("more attempts than allowed", a.id);
-}
-
-void InvariantChecker::on(const RejectAction& a) {
-  ++refusals;
-  finalAnswer(a.id, [&](const TrackedRequest& m, const ClassSettings& c) {
-    const bool allKeyed = c.idempotency == Idempotency::kIdempotentWithKey &&
-                          c.deduplicationScope == DeduplicationScope::kDestination;
-    if (!m.ambiguousAttempts.empty() && c.idempotency != Idempotency::kIdempotent && !allKeyed)
-      broken("a refusal of what may have run", a.id);
-    if (s_.maxRetryAfterMs > 0 && !(a.retryAfterMs > 0 && a.retryAfterMs <= s_.maxRetryAfterMs))
-      broken("a refusal that does not say when to come back", a.id);
+  if (settings_.maxConcurrentCalls > 0 &&
+      calls_.size() > static_cast<std::size_t>(settings_.maxConcurrentCalls))
+    reportViolation("more calls in flight than maxConcurrentCalls", action.id);
+  request.endpointId = action.endpoint;
+  request.zone = endpoint->second.zone;
+  request.sentMs = now_;
+  request.call = call;
+  request.attemptInFlight = request.attempts++;
+  if (request.attempts > std::min(kMaxAttempts, settings_.maxAttempts))
+    reportViolation("more attempts than allowed", action.id);
+}
+
+void InvariantChecker::on(const RejectAction& action) {
+  ++rejections;
+  recordFinalAnswer(action.id, [&](const TrackedRequest& request, const ClassSettings& classSettings) {
+    const bool keyRecognizedEverywhere = classSettings.idempotency == Idempotency::kIdempotentWithKey &&
+                                         classSettings.deduplicationScope == DeduplicationScope::kDestination;
+    if (!request.ambiguousAttempts.empty() && classSettings.idempotency != Idempotency::kIdempotent &&
+        !keyRecognizedEverywhere)
+      reportViolation("rejection of a request that may have been executed", action.id);
+    if (settings_.maxRetryAfterMs > 0 &&
+        !(action.retryAfterMs > 0 && action.retryAfterMs <= settings_.maxRetryAfterMs))
+      reportViolation("rejection without a valid Retry-After", action.id);
   });
 }
 
-void InvariantChecker::on(const FailAction& a) {
-  finalAnswer(a.id, [](const TrackedRequest&, const ClassSettings&) {});
+void InvariantChecker::on(const FailAction& action) {
+  recordFinalAnswer(action.id, [](const TrackedRequest&, const ClassSettings&) {});
 }
 
-void InvariantChecker::on(const CancelAction& a) {
-  const auto at = requests_.find(a.id);
-  if (at == requests_.end() || at->second.out != a.attempt) broken("a call-off of no attempt", a.id);
-  if (!s_.mayCancel) broken("a call-off where none is allowed", a.id);
+void InvariantChecker::on(const CancelAction& action) {
+  const auto at = requests_.find(action.id);
+  if (at == requests_.end() || at->second.attemptInFlight != action.attempt)
+    reportViolation("cancellation of an unknown attempt", action.id);
+  if (!settings_.mayCancel) reportViolation("cancellation although it is not allowed", action.id);
 }
 
-void InvariantChecker::on(const TimerAction& a) {
-  if (!(a.delayMs >= 0 && a.delayMs < 71 * 60e3)) broken("an odd timer", std::to_string(a.token));
+void InvariantChecker::on(const TimerAction& action) {
+  if (!(action.delayMs >= 0 && action.delayMs < 71 * 60e3))
+    reportViolation("timer with an invalid delay", std::to_string(action.token));
 }
 
 }  // namespace myrtleloft::testing
--- a/tests/policy/rate_limiter_fleet_test.cpp
+++ b/tests/policy/rate_limiter_fleet_test.cpp
@@ -1,4 +1,4 @@
-// The rate limiter of a fleet of relays with two listed endpoints.
+// Tests of the rate limiter in a fleet of relays with two listed endpoints.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,108 +15,114 @@
 namespace myrtleloft {
 namespace {
 
-// Of 300 relays, how many requests two listed endpoints apart deliver that take so many calls in any second,
-// refused ones counted: `clump` come at once, then a steady stream at 0.7 of what both take.
-int deliveredByFleet(int clump, int* onLead = nullptr) {
-  constexpr int kForwarders = 300, kEndMs = 12000;
+// Returns how many requests 300 relays deliver to two endpoints, each of which accepts kLimit calls in any
+// second, counting those that it rejects. `burst` requests arrive at once, then a steady stream at 0.7 of the
+// capacity of both. Counts the calls to the higher rated endpoint in `sendsToFirst`.
+int deliveredByFleet(int burst, int* sendsToFirst = nullptr) {
+  constexpr int kRelays = 300, kEndMs = 12000;
   constexpr double kLimit = 40;
-  Settings s = plainSettings();
-  s.instanceCount = kForwarders;
-  s.kindHasSeparateLimits = {true};
-  s.ratingKind = RatingKind::kRough;
-  EndpointInfo lead = entry("a"), second = entry("b");
-  lead.rating = kLimit + 4, second.rating = kLimit - 4;  // listed roughly: one leads
+  Settings settings = plainSettings();
+  settings.instanceCount = kRelays;
+  settings.kindHasSeparateLimits = {true};
+  settings.ratingKind = RatingKind::kRough;
+  EndpointInfo first = entry("a"), second = entry("b");
+  first.rating = kLimit + 4, second.rating = kLimit - 4;  // rough ratings, by which the first is preferred
   std::mt19937 random(11);
-  std::vector<std::unique_ptr<Dispatcher>> fleet;
-  std::map<double, std::map<int, std::vector<Event>>> agenda;
-  for (int i = 0; i < kForwarders; ++i) {
-    s.seed = static_cast<std::uint64_t>(i) + 1, s.instanceIndex = i;
-    fleet.push_back(std::make_unique<Dispatcher>(s));
-    agenda[0][i].push_back(snapshot({lead, second}));
+  std::vector<std::unique_ptr<Dispatcher>> dispatchers;
+  std::map<double, std::map<int, std::vector<Event>>> scheduledEvents;
+  for (int i = 0; i < kRelays; ++i) {
+    settings.seed = static_cast<std::uint64_t>(i) + 1, settings.instanceIndex = i;
+    dispatchers.push_back(std::make_unique<Dispatcher>(settings));
+    scheduledEvents[0][i].push_back(snapshot({first, second}));
   }
   int id = 0, delivered = 0;
-  const auto comes = [&](double t) {
-    RequestEvent m;
-    m.id = numbered(id++);
-    m.destination = 1;
-    m.deadlineMs = t + 12000;
-    agenda[t][static_cast<int>(random() % kForwarders)].emplace_back(m);
+  const auto addRequest = [&](double nowMs) {
+    RequestEvent request;
+    request.id = numbered(id++);
+    request.destination = 1;
+    request.deadlineMs = nowMs + 12000;
+    scheduledEvents[nowMs][static_cast<int>(random() % kRelays)].emplace_back(request);
   };
-  for (int i = 0; i < clump; ++i) comes(1);
-  for (double t = 1; t < kEndMs; t += 1000 / (2 * kLimit * 0.7)) comes(std::floor(t));
+  for (int i = 0; i < burst; ++i) addRequest(1);
+  for (double nowMs = 1; nowMs < kEndMs; nowMs += 1000 / (2 * kLimit * 0.7)) addRequest(std::floor(nowMs));
   std::map<std::string, int> attempts;
-  std::map<std::string, std::deque<double>> arrived;
-  for (; !agenda.empty() && agenda.begin()->first < kEndMs; agenda.erase(agenda.begin())) {
-    const double t = agenda.begin()->first;
-    for (auto& [i, events] : agenda.begin()->second) {
-      for (const Action& a : fleet[static_cast<std::size_t>(i)]->onBatch(t, events)) {
-        if (const auto* timer = std::get_if<TimerAction>(&a))
-          agenda[t + std::max(5.0, std::ceil(timer->delayMs))][i].emplace_back(TimerEvent{timer->token});
-        const auto* sent = std::get_if<SendAction>(&a);
+  std::map<std::string, std::deque<double>> arrivals;
+  for (; !scheduledEvents.empty() && scheduledEvents.begin()->first < kEndMs;
+       scheduledEvents.erase(scheduledEvents.begin())) {
+    const double nowMs = scheduledEvents.begin()->first;
+    for (auto& [i, events] : scheduledEvents.begin()->second) {
+      for (const Action& action : dispatchers[static_cast<std::size_t>(i)]->onBatch(nowMs, events)) {
+        if (const auto* timer = std::get_if<TimerAction>(&action))
+          scheduledEvents[nowMs + std::max(5.0, std::ceil(timer->delayMs))][i].emplace_back(
+              TimerEvent{timer->token});
+        const auto* sent = std::get_if<SendAction>(&action);
         if (!sent) continue;
-        std::deque<double>& last = arrived[sent->endpoint];
-        last.push_back(t);
-        while (last.front() <= t - 1000) last.pop_front();
-        OutcomeEvent o;
-        o.id = sent->id, o.attempt = attempts[sent->id]++, o.endpoint = sent->endpoint;
-        o.outcome = static_cast<double>(last.size()) <= kLimit ? Outcome::kSuccess : Outcome::kRejected;
-        o.completed = o.outcome == Outcome::kSuccess;
-        delivered += o.completed;
-        if (onLead) *onLead += sent->endpoint == "a";
-        agenda[t + 100][i].emplace_back(o);
+        std::deque<double>& recentArrivals = arrivals[sent->endpoint];
+        recentArrivals.push_back(nowMs);
+        while (recentArrivals.front() <= nowMs - 1000) recentArrivals.pop_front();
+        OutcomeEvent event;
+        event.id = sent->id, event.attempt = attempts[sent->id]++, event.endpoint = sent->endpoint;
+        event.outcome =
+            static_cast<double>(recentArrivals.size()) <= kLimit ? Outcome::kSuccess : Outcome::kRejected;
+        event.completed = event.outcome == Outcome::kSuccess;
+        delivered += event.completed;
+        if (sendsToFirst) *sendsToFirst += sent->endpoint == "a";
+        scheduledEvents[nowMs + 100][i].emplace_back(event);
       }
     }
   }
   return delivered;
 }
 TEST(RateLimiterOfAFleet, FleetGoesOnAtItsPartsAfterACommonRejection) {
-  // 12 s at 80 a second at most, 56 of them asked for after the clump.
+  // At most 80 requests per second for 12 s, of which 56 per second arrive after the burst.
   EXPECT_GT(deliveredByFleet(300), 450);
 }
-// One of a hundred, and a endpoint listed at 60 a second, of which its share is 0.48.
+// Settings of one of a hundred relays. Its share of an endpoint listed at 60 calls per second is 0.48 per
+// second.
 Settings oneOfMany() {
-  Settings s = plainSettings();
-  s.instanceCount = 100;
-  s.ratingKind = RatingKind::kRough;
-  return s;
+  Settings settings = plainSettings();
+  settings.instanceCount = 100;
+  settings.ratingKind = RatingKind::kRough;
+  return settings;
 }
-EndpointListEvent routeAtSixty() {
-  EndpointInfo route = entry("a");
-  route.rating = 60;
-  return snapshot({route});
+EndpointListEvent endpointRatedAtSixty() {
+  EndpointInfo endpoint = entry("a");
+  endpoint.rating = 60;
+  return snapshot({endpoint});
 }
-// What it sends with requests enough.
-int sentByOneOfMany(int refused, double fromMs, double toMs, int requests = 20, std::uint64_t seed = 1) {
+// Number of calls that such a relay sends in [fromMs, toMs) while requests wait. The first `rejected` are
+// rejected.
+int sentByOneOfMany(int rejected, double fromMs, double toMs, int requests = 20, std::uint64_t seed = 1) {
   Settings settings = oneOfMany();
   settings.seed = seed;
   DispatcherFixture fixture(settings);
-  std::vector<Event> events = {routeAtSixty()};
+  std::vector<Event> events = {endpointRatedAtSixty()};
   for (int i = 0; i < requests; ++i) {
-    RequestEvent m = std::get<RequestEvent>(fixture.message(numbered(i)));
-    m.deadlineMs = 100000;
-    events.emplace_back(m);
+    RequestEvent request = std::get<RequestEvent>(fixture.request(numbered(i)));
+    request.deadlineMs = 100000;
+    events.emplace_back(request);
   }
   int sent = 0;
-  for (double t = 0; t < toMs; t += 50) {
+  for (double nowMs = 0; nowMs < toMs; nowMs += 50) {
     const std::size_t before = fixture.sends.size();
-    fixture.at(t, events);
+    fixture.at(nowMs, events);
     events.clear();
     for (std::size_t i = before; i < fixture.sends.size(); ++i) {
-      sent += t >= fromMs;
+      sent += nowMs >= fromMs;
       events.push_back(
-          fixture.outcome(fixture.sends[i].id, refused-- > 0 ? Outcome::kRejected : Outcome::kSuccess));
+          fixture.outcome(fixture.sends[i].id, rejected-- > 0 ? Outcome::kRejected : Outcome::kSuccess));
     }
   }
   return sent;
 }
 TEST(RateLimiterOfAFleet, BeginsAtTheListedShare) { EXPECT_LE(sentByOneOfMany(0, 0, 2000), 3); }
 TEST(RateLimiterOfAFleet, AnAnswerRestoresTheListedShare) {
-  EXPECT_GE(sentByOneOfMany(0, 0, 30000), 13);     // 0.48 a second
-  EXPECT_LE(sentByOneOfMany(1000, 0, 30000), 5);   // refused each time: a shut upstream's bound
-  EXPECT_GE(sentByOneOfMany(1, 10000, 30000), 7);  // refused once, then answered
+  EXPECT_GE(sentByOneOfMany(0, 0, 30000), 13);     // 0.48 per second
+  EXPECT_LE(sentByOneOfMany(1000, 0, 30000), 5);   // always rejected: as during an outage
+  EXPECT_GE(sentByOneOfMany(1, 10000, 30000), 7);  // rejected once, then successful
 }
-// Guards against a shut upstream that is called more often because more waits: the queue is no rate of
-// arrival.
+// Guards against calling an upstream with an outage more often because more requests wait: the length of the
+// queue is no arrival rate.
 TEST(RateLimiterOfAFleet, WhatWaitedBeforeAFailureDoesNotRaiseTheRateAtAShutUpstream) {
   constexpr int kSeeds = 40;
   int withFew = 0, withMany = 0;
@@ -124,47 +130,50 @@
     withFew += sentByOneOfMany(1000, 0, 30000, 5, seed);
     withMany += sentByOneOfMany(1000, 0, 30000, 45, seed);
   }
-  // Three standard deviations of the difference of two counts.
+  // The bound is three standard deviations of the difference of the two counts.
   EXPECT_LE(withMany - withFew, 3 * std::sqrt(withMany + withFew)) << withFew << " with few waiting";
 }
-// Refused twice, a endpoint is back at its share soon after it answers, however seldom it is called.
+// After two rejections, the rate returns to the listed share soon after the first success, even if calls are
+// rare.
 TEST(RateLimiterOfAFleet, TheShareRecoversWithTime) { EXPECT_GE(sentByOneOfMany(2, 0, 30000), 12); }
-// Where more waits than the rate takes, what is fresh goes first: late requests have lost their weight.
+// If more requests wait than the rate allows, recent requests are sent first: late ones have lost their
+// weight.
 TEST(RateLimiterOfAFleet, FreshRequestsGoBeforeLateOnes) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Settings s = oneOfMany();
-    s.seed = seed;
-    s.weightDecay = WeightDecay::kHalving;
-    DispatcherFixture fixture(s);
-    const auto handedIn = [&](const char* id, double agoMs) {
-      RequestEvent m = std::get<RequestEvent>(fixture.message(id));
-      m.deadlineMs = fixture.now + 20000 - agoMs;
-      return m;
+    Settings settings = oneOfMany();
+    settings.seed = seed;
+    settings.weightDecay = WeightDecay::kHalving;
+    DispatcherFixture fixture(settings);
+    const auto requestOfAge = [&](const char* id, double ageMs) {
+      RequestEvent request = std::get<RequestEvent>(fixture.request(id));
+      request.deadlineMs = fixture.now + 20000 - ageMs;
+      return request;
     };
-    fixture.at(0, {routeAtSixty(), handedIn("late", 6000), handedIn("fresh", 0)});
-    for (double t = 50; t < 6000 && fixture.sends.empty(); t += 50) fixture.at(t);
+    fixture.at(0, {endpointRatedAtSixty(), requestOfAge("late", 6000), requestOfAge("fresh", 0)});
+    for (double nowMs = 50; nowMs < 6000 && fixture.sends.empty(); nowMs += 50) fixture.at(nowMs);
     ASSERT_FALSE(fixture.sends.empty());
     EXPECT_EQ(fixture.sends[0].id, "fresh") << seed;
   }
 }
-// What is more than its turns goes back at once, and that is the least of what waits.
+// Requests that exceed the relay's share are rejected at once, those with the lowest weight first.
 TEST(RateLimiterOfAFleet, ReturnsTheLeastWeightOfWhatWaits) {
-  Settings s = oneOfMany();
-  s.classes.push_back(classOf(Idempotency::kIdempotent));
-  s.classes[1].priorityWeight = 5;
-  DispatcherFixture fixture(s);
-  std::vector<Event> events = {routeAtSixty()};
-  for (int i = 0; i < 20; ++i) events.push_back(fixture.message(numbered(i), 1, i % 4 == 3));
+  Settings settings = oneOfMany();
+  settings.classes.push_back(classOf(Idempotency::kIdempotent));
+  settings.classes[1].priorityWeight = 5;
+  DispatcherFixture fixture(settings);
+  std::vector<Event> events = {endpointRatedAtSixty()};
+  for (int i = 0; i < 20; ++i) events.push_back(fixture.request(numbered(i), 1, i % 4 == 3));
   fixture.at(0, events);
-  ASSERT_FALSE(fixture.refused.empty());
-  EXPECT_LT(fixture.refused.size(), 20U);
-  for (const std::string& id : fixture.refused) EXPECT_NE(std::stoi(id.substr(1)) % 4, 3) << id;
+  ASSERT_FALSE(fixture.rejected.empty());
+  EXPECT_LT(fixture.rejected.size(), 20U);
+  for (const std::string& id : fixture.rejected) EXPECT_NE(std::stoi(id.substr(1)) % 4, 3) << id;
 }
-// The lead's tokens are spent first; all but 4% of the calls went there before the own part counted.
+// The tokens of the preferred endpoint are spent first. Guards against 96% of the calls going there, as
+// happened before the relay's own share was taken into account.
 TEST(RateLimiterOfAFleet, UsesTheNextEndpointOnceTheLeadHadTheOwnPart) {
-  int lead = 0;
-  const int all = deliveredByFleet(0, &lead);
-  EXPECT_LT(lead, 0.85 * all);
+  int sendsToFirst = 0;
+  const int all = deliveredByFleet(0, &sendsToFirst);
+  EXPECT_LT(sendsToFirst, 0.85 * all);
 }
 
 }  // namespace
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Slow start of one endpoint among a fleet of relays.
+// Tests of slow start towards one endpoint in a fleet of relays.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,112 +15,122 @@
 namespace myrtleloft {
 namespace {
 
-// Many relays and one destination: the rule on returning destinations, counted as it is worded, over
-// every window of overloadWindowMs of an outage whose end none knows. Messages come at 0.8 of the capacity,
-// each to some relay, and stop at some time; each call is answered after 100 ms.
-struct Fleet {
-  double perS = 0, healthyMs = 10000, stopMs = 30000, endMs = 40000, returnMs = 1e9;
-  bool rated = false;
-  std::function<Outcome(double t, std::mt19937& random)> fate;
-  std::function<std::int64_t(double t)> wait = [](double) { return 0; };
+// A fleet of many relays with one destination that has an outage of unknown end. Requests arrive at 0.8 of
+// the capacity, each at a random relay, until lastArrivalMs; each call ends after 100 ms. The overload rule
+// for recovering destinations is checked over every window of overloadWindowMs.
+struct FleetScenario {
+  double callsPerSecond = 0, outageStartMs = 10000, lastArrivalMs = 30000, endMs = 40000, returnMs = 1e9;
+  bool hasRating = false;
+  std::function<Outcome(double nowMs, std::mt19937& random)> outcomeAt;
+  std::function<std::int64_t(double nowMs)> retryAfterMs = [](double) { return 0; };
 };
-// The worst window: what was sent by all and by those that saw a failure, where that breaks the rule; else
-// nothing.
-std::string worstWindow(const Fleet& f) {
+// Returns a description of the first window that breaks the overload rule: the calls of all relays, and those
+// of the relays that saw a failure. Returns an empty text if there is none.
+std::string findOverrun(const FleetScenario& scenario) {
   constexpr int kRelays = 300;
-  Settings s = plainSettings();
-  s.instanceCount = kRelays;
-  const double capacity = f.perS / 0.8;
+  Settings settings = plainSettings();
+  settings.instanceCount = kRelays;
+  const double capacity = scenario.callsPerSecond / 0.8;
   EndpointInfo target = entry("a");
-  if (f.rated) s.ratingKind = RatingKind::kNominal, target.rating = capacity;
+  if (scenario.hasRating) settings.ratingKind = RatingKind::kNominal, target.rating = capacity;
   const Event list = snapshot({target});
   std::mt19937 random(7);
-  std::vector<std::unique_ptr<Dispatcher>> fleet;
-  std::map<double, std::map<int, std::vector<Event>>> agenda;
+  std::vector<std::unique_ptr<Dispatcher>> dispatchers;
+  std::map<double, std::map<int, std::vector<Event>>> scheduledEvents;
   for (int i = 0; i < kRelays; ++i) {
-    s.seed = static_cast<std::uint64_t>(i) + 1, s.instanceIndex = i;
-    fleet.push_back(std::make_unique<Dispatcher>(s));
-    agenda[0][i].push_back(list);
+    settings.seed = static_cast<std::uint64_t>(i) + 1, settings.instanceIndex = i;
+    dispatchers.push_back(std::make_unique<Dispatcher>(settings));
+    scheduledEvents[0][i].push_back(list);
   }
   int id = 0;
-  for (double t = 1; t < f.stopMs; t += 1000 / f.perS) {
-    RequestEvent m;
-    m.id = numbered(id++);
-    m.destination = 1;
-    m.deadlineMs = std::floor(t) + 20000;
-    agenda[std::floor(t)][static_cast<int>(random() % kRelays)].emplace_back(m);
+  for (double nowMs = 1; nowMs < scenario.lastArrivalMs; nowMs += 1000 / scenario.callsPerSecond) {
+    RequestEvent request;
+    request.id = numbered(id++);
+    request.destination = 1;
+    request.deadlineMs = std::floor(nowMs) + 20000;
+    scheduledEvents[std::floor(nowMs)][static_cast<int>(random() % kRelays)].emplace_back(request);
   }
   std::map<std::string, int> attempts;
   std::vector<bool> sawFailure(kRelays);
   std::deque<std::pair<double, bool>> window;
-  // What a upstream that returned at returnMs, or just now, takes in the window up to t.
-  const auto budgetTo = [&](double t) {
-    const double warmS = std::clamp(t - f.returnMs, 0.0, s.overloadWindowMs) / 1000;
-    const double early = std::max(0.0, t - s.overloadWindowMs - f.returnMs) / 1000;
-    const double climb = (1 - s.slowStartShare) / s.slowStartMs * 1000;
-    const double takes = s.overloadFactor * capacity *
-                         (s.slowStartShare * s.overloadWindowMs / 1000 + climb * warmS * (early + warmS / 2));
-    return takes + std::sqrt(takes);  // the count leaves some slack for chance
+  // Calls that an upstream which recovers at returnMs, or recovers only now, can take in the window up to
+  // `nowMs`.
+  const auto budgetUpTo = [&](double nowMs) {
+    const double recoveredS = std::clamp(nowMs - scenario.returnMs, 0.0, settings.overloadWindowMs) / 1000;
+    const double recoveredBeforeS =
+        std::max(0.0, nowMs - settings.overloadWindowMs - scenario.returnMs) / 1000;
+    const double shareGrowthPerS = (1 - settings.slowStartShare) / settings.slowStartMs * 1000;
+    const double expectedCalls = settings.overloadFactor * capacity *
+                                 (settings.slowStartShare * settings.overloadWindowMs / 1000 +
+                                  shareGrowthPerS * recoveredS * (recoveredBeforeS + recoveredS / 2));
+    return expectedCalls + std::sqrt(expectedCalls);  // the root is slack for random variation
   };
-  int toldSends = 0;
-  for (; !agenda.empty() && agenda.begin()->first < f.endMs; agenda.erase(agenda.begin())) {
-    const double t = agenda.begin()->first;
-    for (auto& [i, events] : agenda.begin()->second) {
-      const bool before = sawFailure[static_cast<std::size_t>(i)];
-      for (const Event& e : events)
-        if (const auto* o = std::get_if<OutcomeEvent>(&e))
-          if (o->outcome != Outcome::kSuccess && t >= f.healthyMs)
+  int sendsAfterFailure = 0;
+  for (; !scheduledEvents.empty() && scheduledEvents.begin()->first < scenario.endMs;
+       scheduledEvents.erase(scheduledEvents.begin())) {
+    const double nowMs = scheduledEvents.begin()->first;
+    for (auto& [i, events] : scheduledEvents.begin()->second) {
+      const bool sawFailureBefore = sawFailure[static_cast<std::size_t>(i)];
+      for (const Event& event : events)
+        if (const auto* outcomeEvent = std::get_if<OutcomeEvent>(&event))
+          if (outcomeEvent->outcome != Outcome::kSuccess && nowMs >= scenario.outageStartMs)
             sawFailure[static_cast<std::size_t>(i)] = true;
-      for (const Action& a : fleet[static_cast<std::size_t>(i)]->onBatch(t, events)) {
-        if (const auto* timer = std::get_if<TimerAction>(&a))
-          agenda[t + std::max(5.0, std::ceil(timer->delayMs))][i].emplace_back(TimerEvent{timer->token});
-        const auto* sent = std::get_if<SendAction>(&a);
+      for (const Action& action : dispatchers[static_cast<std::size_t>(i)]->onBatch(nowMs, events)) {
+        if (const auto* timer = std::get_if<TimerAction>(&action))
+          scheduledEvents[nowMs + std::max(5.0, std::ceil(timer->delayMs))][i].emplace_back(
+              TimerEvent{timer->token});
+        const auto* sent = std::get_if<SendAction>(&action);
         if (!sent) continue;
-        OutcomeEvent o;
-        o.id = sent->id, o.attempt = attempts[sent->id]++, o.endpoint = "a";
-        o.outcome = t < f.healthyMs ? Outcome::kSuccess : f.fate(t, random);
-        o.completed = o.outcome == Outcome::kSuccess;
-        if (o.outcome == Outcome::kRejected) o.retryAfterMs = f.wait(t);
-        agenda[t + 100][i].emplace_back(o);
-        if (t < f.healthyMs) continue;
-        // Told in an earlier batch: what this batch brought counts from the next on.
-        window.emplace_back(t, before);
-        toldSends += before;
+        OutcomeEvent outcomeEvent;
+        outcomeEvent.id = sent->id, outcomeEvent.attempt = attempts[sent->id]++, outcomeEvent.endpoint = "a";
+        outcomeEvent.outcome =
+            nowMs < scenario.outageStartMs ? Outcome::kSuccess : scenario.outcomeAt(nowMs, random);
+        outcomeEvent.completed = outcomeEvent.outcome == Outcome::kSuccess;
+        if (outcomeEvent.outcome == Outcome::kRejected)
+          outcomeEvent.retryAfterMs = scenario.retryAfterMs(nowMs);
+        scheduledEvents[nowMs + 100][i].emplace_back(outcomeEvent);
+        if (nowMs < scenario.outageStartMs) continue;
+        // Only a failure seen in an earlier batch counts; one in this batch counts from the next batch on.
+        window.emplace_back(nowMs, sawFailureBefore);
+        sendsAfterFailure += sawFailureBefore;
       }
     }
-    for (; !window.empty() && window.front().first <= t - s.overloadWindowMs; window.pop_front())
-      toldSends -= window.front().second;
+    for (; !window.empty() && window.front().first <= nowMs - settings.overloadWindowMs; window.pop_front())
+      sendsAfterFailure -= window.front().second;
     const auto all = static_cast<double>(window.size());
-    if (all > budgetTo(t) && 3 * toldSends >= 2 * all)
-      return std::to_string(window.size()) + " sent, " + std::to_string(toldSends) +
-             " by relays that saw a failure, up to " + std::to_string(t) + " ms; budget " +
-             std::to_string(budgetTo(t));
+    if (all > budgetUpTo(nowMs) && 3 * sendsAfterFailure >= 2 * all)
+      return std::to_string(window.size()) + " sent, " + std::to_string(sendsAfterFailure) +
+             " by relays that saw a failure, up to " + std::to_string(nowMs) + " ms; budget " +
+             std::to_string(budgetUpTo(nowMs));
   }
   return "";
 }
 
 struct FleetCase {
   const char* name;
-  double perS;
-  bool rated;
+  double callsPerSecond;
+  bool hasRating;
   Outcome outcome;
-  double goodShare;
-  bool opens;  // refusals tell the time of the return
+  double successShare;
+  bool announcesReturn;  // rejections state Retry-After until the end of the outage
 };
-std::ostream& operator<<(std::ostream& out, const FleetCase& c) { return out << c.name; }
+std::ostream& operator<<(std::ostream& out, const FleetCase& fleetCase) { return out << fleetCase.name; }
 class SlowStartOfAFleet : public ::testing::TestWithParam<FleetCase> {};
 TEST_P(SlowStartOfAFleet, RelaysThatSawFailuresStayUnderTwoThirdsOfWhatItTakes) {
-  const FleetCase c = GetParam();
-  Fleet f;
-  f.perS = c.perS, f.rated = c.rated;
-  if (c.opens) f.returnMs = 25000;
-  f.fate = [&](double t, std::mt19937& random) {
-    if (c.opens && t >= f.returnMs) return Outcome::kSuccess;
-    return std::uniform_real_distribution<double>(0, 1)(random) < c.goodShare ? Outcome::kSuccess : c.outcome;
+  const FleetCase fleetCase = GetParam();
+  FleetScenario scenario;
+  scenario.callsPerSecond = fleetCase.callsPerSecond, scenario.hasRating = fleetCase.hasRating;
+  if (fleetCase.announcesReturn) scenario.returnMs = 25000;
+  scenario.outcomeAt = [&](double nowMs, std::mt19937& random) {
+    if (fleetCase.announcesReturn && nowMs >= scenario.returnMs) return Outcome::kSuccess;
+    return std::uniform_real_distribution<double>(0, 1)(random) < fleetCase.successShare ? Outcome::kSuccess
+                                                                                         : fleetCase.outcome;
   };
-  if (c.opens)
-    f.wait = [&](double t) { return static_cast<std::int64_t>(std::max(0.0, f.returnMs - t - 100)); };
-  EXPECT_EQ(worstWindow(f), "");
+  if (fleetCase.announcesReturn)
+    scenario.retryAfterMs = [&](double nowMs) {
+      return static_cast<std::int64_t>(std::max(0.0, scenario.returnMs - nowMs - 100));
+    };
+  EXPECT_EQ(findOverrun(scenario), "");
 }
 INSTANTIATE_TEST_SUITE_P(
     Table, SlowStartOfAFleet,
@@ -136,42 +146,48 @@
                       FleetCase{"WaitsEndTogether", 40, false, Outcome::kRejected, 0, true}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Guards against a fleet that was told to wait until one moment and calls all at once at it. Traffic is
-// sparse: a relay's part of what the upstream takes at its slowest is less than a call in a window.
+// Guards against all relays of a fleet calling at the moment when the Retry-After that they were all given
+// ends. Traffic is sparse: a relay's share of the upstream's initial capacity is less than one call per
+// window.
 TEST(SlowStartOfAFleet, RelaysToldToWaitUntilOneMomentDoNotAllCallAtIt) {
-  constexpr int kRelays = 30, kWaiting = 10;
-  constexpr double kRejectedMs = 1000, kWaitMs = 9000;
-  Settings s = plainSettings();
-  s.instanceCount = kRelays;
-  s.ratingKind = RatingKind::kNominal;
-  s.kindBatchSize = {kWaiting};
+  constexpr int kRelays = 30, kWaitingRequests = 10;
+  constexpr double kRejectedMs = 1000, kRetryAfterMs = 9000;
+  Settings settings = plainSettings();
+  settings.instanceCount = kRelays;
+  settings.ratingKind = RatingKind::kNominal;
+  settings.kindBatchSize = {kWaitingRequests};
   EndpointInfo target = entry("a");
   target.rating = 30;
-  double sent = 0;  // in the window that begins with the end of the wait
+  double sent = 0;  // weight of the calls in the window that starts at the end of the Retry-After
   for (int i = 0; i < kRelays; ++i) {
-    s.seed = static_cast<std::uint64_t>(i) + 1, s.instanceIndex = i;
-    DispatcherFixture relay(s);
+    settings.seed = static_cast<std::uint64_t>(i) + 1, settings.instanceIndex = i;
+    DispatcherFixture relay(settings);
     relay.at(0, {snapshot({target})});
-    for (double t = 0; t < kRejectedMs; t += 50) relay.at(t);
-    relay.at(kRejectedMs, {relay.message("first")});
-    for (double t = kRejectedMs; relay.sends.empty() && t < kRejectedMs + 5000; t += 5) relay.at(t);
+    for (double nowMs = 0; nowMs < kRejectedMs; nowMs += 50) relay.at(nowMs);
+    relay.at(kRejectedMs, {relay.request("first")});
+    for (double nowMs = kRejectedMs; relay.sends.empty() && nowMs < kRejectedMs + 5000; nowMs += 5)
+      relay.at(nowMs);
     ASSERT_EQ(relay.sends.size(), 1u);
-    const double toldMs = relay.now + 30;
-    relay.at(toldMs, {relay.outcome("first", Outcome::kRejected,
-                                    static_cast<std::int64_t>(kRejectedMs + kWaitMs - toldMs))});
-    for (int n = 0; n < kWaiting; ++n) relay.at(toldMs + 5, {relay.message(numbered(n))});
+    const double rejectionSeenMs = relay.now + 30;
+    relay.at(rejectionSeenMs,
+             {relay.outcome("first", Outcome::kRejected,
+                            static_cast<std::int64_t>(kRejectedMs + kRetryAfterMs - rejectionSeenMs))});
+    for (int n = 0; n < kWaitingRequests; ++n) relay.at(rejectionSeenMs + 5, {relay.request(numbered(n))});
     relay.sends.clear();
-    for (double t = toldMs + 10; t < kRejectedMs + kWaitMs; t += 5) relay.at(t);
+    for (double nowMs = rejectionSeenMs + 10; nowMs < kRejectedMs + kRetryAfterMs; nowMs += 5)
+      relay.at(nowMs);
     ASSERT_TRUE(relay.sends.empty());
-    for (double t = kRejectedMs + kWaitMs; t < kRejectedMs + kWaitMs + s.overloadWindowMs; t += 5) {
-      const std::size_t before = relay.sends.size();
-      relay.at(t);
-      const double items = static_cast<double>(relay.sends.size() - before);
-      if (items > 0) sent += 1 + 0.2 * (items - 1);  // what a call of several requests weighs
+    for (double nowMs = kRejectedMs + kRetryAfterMs;
+         nowMs < kRejectedMs + kRetryAfterMs + settings.overloadWindowMs; nowMs += 5) {
+      const std::size_t sendsBefore = relay.sends.size();
+      relay.at(nowMs);
+      const double requests = static_cast<double>(relay.sends.size() - sendsBefore);
+      if (requests > 0) sent += 1 + 0.2 * (requests - 1);  // the weight of a call of several requests
     }
   }
-  const double takes = s.overloadFactor * target.rating * s.slowStartShare * s.overloadWindowMs / 1000;
-  EXPECT_LE(sent, takes + 3 * std::sqrt(takes) + 3);
+  const double expectedCalls =
+      settings.overloadFactor * target.rating * settings.slowStartShare * settings.overloadWindowMs / 1000;
+  EXPECT_LE(sent, expectedCalls + 3 * std::sqrt(expectedCalls) + 3);
 }
 
 }  // namespace
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,7 +1,7 @@
-// Drawn returns of cold upstreams, judged over whole fleets as the rule words it (lab/cold_fleet.h): outages
-// of every kind, 5 to 16 s long, at rated and unrated, busy and seldom called upstreams, with clumps of
-// arrivals, calls of several requests, restarts and stray failures. docs/bench/cold-returns.md has the
-// figures of more days.
+// Property tests of slow start over whole fleets (lab/cold_fleet.h): no upstream that recovers from an outage
+// is overloaded. The drawn days have outages of every kind, 5 to 16 s long, at upstreams with and without a
+// rating, and with frequent and rare calls, with bursts of arrivals, calls of several requests, restarts and
+// isolated failures. docs/bench/cold-returns.md has the results of more days.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -18,7 +18,7 @@
 
 struct Fleet {
   int forwarders = 0;
-  std::uint64_t days = 0;  // by seeds from 1 on
+  std::uint64_t days = 0;  // with the seeds 1, 2, ...
 };
 constexpr std::array<Fleet, 5> kFleets = {{{2, 200}, {8, 200}, {20, 100}, {30, 100}, {300, 40}}};
 
@@ -36,7 +36,8 @@
       rated += day.rated, batches += day.batches, clumps += day.clumps, restarts += day.restarts;
       ++outages[static_cast<std::size_t>(day.outage)];
     }
-    // It was a test of something, and what keeps the returns is not that little is sent.
+    // Checks that the days exercise what they are meant to test, and that the rule is not kept by sending too
+    // little.
     INFO("fleet of ", fleet.forwarders, ": ", delivered, " of ", handedIn, " delivered");
     CHECK(delivered > 0.75 * handedIn);
     const int few = static_cast<int>(fleet.days) / 10;
@@ -45,8 +46,9 @@
   }
 }
 
-// Guards against relays that were all told to wait until one moment, and all call at it: sparse traffic took
-// a rejection for a limit's, whatever it stated, and saved a call through the wait.
+// Guards against all relays calling at the moment when the Retry-After that they were all given ends: in
+// sparse traffic, a rejection was taken for that of a rate limit whatever Retry-After it stated, and a token
+// accumulated during the wait.
 TEST_CASE("no drawn return of a fleet is overrun when what is shut states how long it stays so") {
   for (const Fleet& fleet : kFleets) {
     int handedIn = 0, delivered = 0;
--- a/tests/policy/timer_and_input_test.cpp
+++ b/tests/policy/timer_and_input_test.cpp
@@ -1,4 +1,4 @@
-// Timers, input that nothing was said of, and determinism.
+// Tests of timers, invalid input and determinism.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,47 +15,49 @@
 namespace myrtleloft {
 namespace {
 
-// A span rounded down brings the timer back a hair early; the instance must not take it for still pending.
+// A delay that is rounded down makes the timer expire slightly early. It must not be considered armed any
+// longer.
 TEST(Timer, OneThatExpiresAHairEarlyIsSetAgain) {
   DispatcherFixture fixture(plainSettings());
   std::uint64_t token = 0;
-  for (const auto& a : fixture.at(0, {fixture.message("m")}))
-    if (const auto* timer = std::get_if<TimerAction>(&a)) token = timer->token;
+  for (const auto& action : fixture.at(0, {fixture.request("m")}))
+    if (const auto* timer = std::get_if<TimerAction>(&action)) token = timer->token;
   ASSERT_NE(token, 0u);
-  bool again = false;
-  for (const auto& a : fixture.at(99.9996, {TimerEvent{token}}))
-    again |= std::holds_alternative<TimerAction>(a);
-  EXPECT_TRUE(again);
+  bool armedAgain = false;
+  for (const auto& action : fixture.at(99.9996, {TimerEvent{token}}))
+    armedAgain |= std::holds_alternative<TimerAction>(action);
+  EXPECT_TRUE(armedAgain);
 }
 
 TEST(StrangeInput, UnknownClassEmptyListAndNoLimitsNeitherCrashNorLoop) {
   DispatcherFixture fixture(Settings{});
-  RequestEvent m;
-  m.id = "m";
-  m.classIndex = 9;
-  m.deadlineMs = 100;
-  fixture.at(0, {m, snapshot({})});
+  RequestEvent request;
+  request.id = "m";
+  request.classIndex = 9;
+  request.deadlineMs = 100;
+  fixture.at(0, {request, snapshot({})});
   fixture.at(10, {OutcomeEvent{}, TimerEvent{77}});
-  fixture.pass(200, 5);
-  EXPECT_EQ(fixture.refused.size() + fixture.failed.size(), 1u);
+  fixture.advanceTo(200, 5);
+  EXPECT_EQ(fixture.rejected.size() + fixture.failed.size(), 1u);
 }
 
 TEST(Determinism, SameEventsSameActions) {
-  const auto play = [] {
+  const auto run = [] {
     DispatcherFixture fixture(plainSettings());
     fixture.at(0, {snapshot({entry("a"), entry("b"), entry("c", 2)})});
     for (int i = 0; i < 60; ++i) {
       const std::string id = numbered(i);
-      fixture.at(100 * i + 1, {fixture.message(id, 1 + i % 2)});
+      fixture.at(100 * i + 1, {fixture.request(id, 1 + i % 2)});
       if (fixture.sendsOf(id))
         fixture.at(100 * i + 50, {fixture.outcome(id, i % 7 ? Outcome::kSuccess : Outcome::kRejected)});
     }
     std::string all;
-    for (const auto& s : fixture.sends) all += s.id + s.endpoint + std::to_string(s.timeoutMs) + ";";
+    for (const auto& send : fixture.sends)
+      all += send.id + send.endpoint + std::to_string(send.timeoutMs) + ";";
     return all;
   };
-  EXPECT_EQ(play(), play());
-  EXPECT_FALSE(play().empty());
+  EXPECT_EQ(run(), run());
+  EXPECT_FALSE(run().empty());
 }
 
 }  // namespace
