--- a/simulator_adapter/event_reader.h
+++ b/simulator_adapter/event_reader.h
@@ -38,8 +38,7 @@
   std::array<std::optional<std::vector<EndpointInfo>>, kCount> sheets_;
 };
 
-// Reads one entry of an endpoint list from the fields of a TARGET line. Throws WireError if a field is
-// malformed.
+// Reads an entry of an endpoint list from the fields of a TARGET line. Throws WireError if one is malformed.
 EndpointInfo readEndpoint(const Fields& fields);
 
 // Adds the event to its instance. Events that the decision module does not use only select the instance for a
--- a/simulator_adapter/settings_decoding.h
+++ b/simulator_adapter/settings_decoding.h
@@ -1,6 +1,5 @@
 // Decodes the settings of the decision module from the simulator's wire format. The relay uses the same
-// function for its own configuration (config/settings_section.h), so that both interpret settings in the same
-// way.
+// function for its own configuration (config/settings_section.h), so that both interpret settings alike.
 //
 //   const Settings settings =
 //   decodeSettings(Fields("randomSeed=7\tclasses.count=1\tclasses.0.hardLimitMs=20000"));
--- a/simulator_adapter/wire_fields.cpp
+++ b/simulator_adapter/wire_fields.cpp
@@ -6,8 +6,7 @@
 namespace myrtleloft::wire {
 namespace {
 
-// Reads one value. An error message starts with the name of the field, so that it can be found in a
-// configuration.
+// Reads one value. An error message starts with the name of the field, to find it in a configuration.
 template <typename Read>
 auto readNamed(std::string_view name, Read read, std::string_view text) {
   try {
--- a/simulator_adapter/wire_names.h
+++ b/simulator_adapter/wire_names.h
@@ -1,5 +1,4 @@
-// Field names of the simulator's wire format that several files of the adapter use. The simulator defines
-// them.
+// Field names, defined by the simulator, that several files of the adapter use.
 #pragma once
 
 namespace myrtleloft::wire {
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -14,18 +14,18 @@
 namespace {
 
 Settings withDefaults(Settings settings) {
-  const auto fill = [](auto& setting, auto fallback) {
+  const auto setIfMissing = [](auto& setting, auto fallback) {
     if (setting <= 0) setting = fallback;
   };
-  fill(settings.overloadWindowMs, kDefaultOverloadWindowMs);
-  fill(settings.slowStartMs, kDefaultSlowStartMs);
-  fill(settings.listRetryMs, kDefaultListRetryMs);
-  fill(settings.instanceCount, 1);
-  fill(settings.overloadFactor, 1);
-  fill(settings.slowStartShare, kDefaultSlowStartShare);
-  fill(settings.maxConcurrentCalls, std::numeric_limits<int>::max());
-  fill(settings.connectionIdleMs, kNever);
-  settings.classes.emplace_back();
+  setIfMissing(settings.overloadWindowMs, kDefaultOverloadWindowMs);
+  setIfMissing(settings.slowStartMs, kDefaultSlowStartMs);
+  setIfMissing(settings.listRetryMs, kDefaultListRetryMs);
+  setIfMissing(settings.instanceCount, 1);
+  setIfMissing(settings.overloadFactor, 1);
+  setIfMissing(settings.slowStartShare, kDefaultSlowStartShare);
+  setIfMissing(settings.maxConcurrentCalls, std::numeric_limits<int>::max());
+  setIfMissing(settings.connectionIdleMs, kNever);
+  settings.classes.emplace_back();  // for requests with an unknown class
   return settings;
 }
 
@@ -52,11 +52,11 @@
   // `finished` says that all its requests now have their outcome.
   void recordCall(const Call& call, const OutcomeEvent& event, bool finished);
   void removeUnused() { registry_.removeUnused(batch_, requests_, latency_); }
+  // When the next batch is needed even without an event, in ms; kNever if none is.
   double nextWakeMs() const;
 
   BatchContext batch_;
-  // Whether this batch contains the cached endpoint list, so that its requests were accepted before a
-  // restart.
+  // Whether this batch brought the cached endpoint list, so that its requests are from before a restart.
   bool recovering_ = false;
   EndpointRegistry registry_;
   EndpointListWatch watch_;
@@ -93,9 +93,9 @@
 }
 
 void Dispatcher::Impl::handle(const RequestEvent& event) {
-  const std::vector<ClassSettings>& classes = batch_.settings.classes;  // the last is for unknown classes
-  const std::size_t number = std::min(static_cast<std::size_t>(event.classIndex), classes.size() - 1);
-  Request* request = requests_.add(event, classes[number], batch_.nowMs());
+  const std::vector<ClassSettings>& classes = batch_.settings.classes;
+  const std::size_t classIndex = std::min(static_cast<std::size_t>(event.classIndex), classes.size() - 1);
+  Request* request = requests_.add(event, classes[classIndex], batch_.nowMs());
   if (!request) return;
   requests_.setDestination(*request, registry_.destination(event.destination));
   registry_.grantProbeForArrival(batch_, *request->destination);
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -35,6 +35,7 @@
  private:
   // Retry-After for requests of the destination, in ms from now.
   double retryAfterMs(const BatchContext& batch, const Destination& destination) const;
+  // Rejects the request if its client may safely send it again, fails it otherwise, and completes it.
   void giveUp(BatchContext& batch, Request& request, double retryAfterMs);
   // Whether the request arrived in this batch, so that its client has not been answered 202 yet.
   static bool arrivedNow(const BatchContext& batch, const Request& request);
--- a/src/policy/outcome_recorder.h
+++ b/src/policy/outcome_recorder.h
@@ -24,6 +24,7 @@
   void record(BatchContext& batch, const Call& call, Outcome outcome);
 
  private:
+  // Updates the moving averages over all upstreams and over endpoint kinds.
   void updateRates(const BatchContext& batch, const Call& call, Outcome outcome);
   void recordSuccess(const BatchContext& batch, const Call& call);
 
--- a/src/policy/upstream.h
+++ b/src/policy/upstream.h
@@ -106,13 +106,17 @@
   void recordFailure(BatchContext& batch, double sentMs, bool connected, double expectedFailureRate);
 
  private:
+  // Records a failure from which slow start has to recover.
   void recordPendingFailure(BatchContext& batch, double sentMs);
   void decreaseRate(BatchContext& batch, double sentMs);
   void eject(const BatchContext& batch);
+  // Ends both the ejection and the slow start.
   void readmit();
+  // Draws the tokens for the next probe, and empties the bucket.
   void drawProbeToken(BatchContext& batch);
   // Number of waiting requests that arrived since the batch of the first failure.
   double waitingSinceFailure() const;
+  // Rate that slow start permits this relay, in calls per second, at the given share of the capacity.
   double rateOfSlowStart(const BatchContext& batch, double share) const;
 
   DestinationTraffic* traffic_ = nullptr;
--- a/src/state/endpoint.h
+++ b/src/state/endpoint.h
@@ -1,5 +1,4 @@
-// Records of endpoints, destinations and calls in flight. Plain data: the classes that own them keep it
-// consistent.
+// Records of endpoints, destinations and calls in flight. Plain data, kept consistent by its owners.
 #pragma once
 
 #include <cstdint>
@@ -35,9 +34,9 @@
   bool separateLimit = false;  // whether it has an upstream of its own, not the shared one of its destination
   bool open = false;           // whether it is listed as running
   double closedAtMs = 0;       // when it was last closed
-  double rating = 0;
-  double cost = 0;
-  int batchSize = 1;  // maximum number of requests in one call
+  double rating = 0;           // EndpointInfo::rating; 0 if ratings have no meaning
+  double cost = 0;             // cost of a request by its zone
+  int batchSize = 1;           // maximum number of requests in one call
   Upstream ownUpstream;
   Upstream* upstream = nullptr;
   std::map<std::int64_t, Call*> calls;  // in flight, oldest first
--- a/tests/policy/outage_test.cpp
+++ b/tests/policy/outage_test.cpp
@@ -55,7 +55,7 @@
                                                             std::max(0.0, at - 30000) / settings.slowStartMs);
     EXPECT_LE(sendsBetween(from, from + settings.overloadWindowMs), budget) << from;
   }
-  EXPECT_GT(sendsBetween(43000, 45000), 10) << "the full rate is reached again";
+  EXPECT_GT(sendsBetween(43000, 45000), 10) << "calls resume after the outage";
 }
 
 // Guards against repeated decreases of the rate that stop all calls even after the rejections have ended.
