--- a/src/journal/compaction.cpp
+++ b/src/journal/compaction.cpp
@@ -10,9 +10,10 @@
 namespace myrtleloft {
 namespace {
 
-constexpr std::size_t kMostDeletedSegments = 4;  // in one step
+constexpr std::size_t kMaxDeletedSegments = 4;  // in one step
 constexpr std::size_t kRecordsPerClockCheck = 16;
-// LiveRecords::Segment::rewrittenAt of a segment whose rewritten records stand in uncertain segments.
+// Value of LiveRecords::Segment::rewrittenAt for a segment whose records were rewritten to uncertain
+// segments.
 constexpr std::uint64_t kUncertain = std::numeric_limits<std::uint64_t>::max();
 
 }  // namespace
@@ -22,19 +23,19 @@
 }
 
 bool Compaction::step() {
-  std::size_t most = parts_.planner.tuning().maxStepBytes;
+  std::size_t maxBytes = parts_.planner.tuning().maxStepBytes;
   LiveRecords::Segment* source = nullptr;
   if (refreshUncertain()) {
     source = &nextUncertain();
   } else {
-    most = parts_.planner.stepBytes(parts_.writer.usage());
-    if (most == 0) return true;
+    maxBytes = parts_.planner.stepBytes(parts_.writer.usage());
+    if (maxBytes == 0) return true;
     parts_.writer.restartStepCount();
     if (parts_.records.oldest().hasLive()) source = &parts_.records.oldest();
   }
   ++parts_.statistics.compactSteps;
-  const bool rewritten = source == nullptr || rewrite(*source, most);
-  // Also where there was no space to rewrite to: this makes some.
+  const bool rewritten = source == nullptr || rewrite(*source, maxBytes);
+  // Also done if the rewrite failed for lack of space, because deleting segments frees some.
   const bool deleted = deleteRewritten();
   parts_.records.measureLargestLive();
   return rewritten && deleted;
@@ -42,9 +43,9 @@
 
 bool Compaction::deleteRewritten() {
   LiveRecords& records = parts_.records;
-  for (std::size_t i = 0; i < kMostDeletedSegments; ++i) {
+  for (std::size_t i = 0; i < kMaxDeletedSegments; ++i) {
     if (records.size() < 2 || records.oldest().hasLive()) return true;
-    // What was rewritten must be as safe as what it came from, before that goes.
+    // The rewritten records must be durable before the original ones are deleted.
     if (records.oldest().rewrittenAt > parts_.commit.durable()) return true;
     if (!parts_.writer.deleteOldest()) return false;
   }
@@ -52,9 +53,9 @@
 }
 
 void Compaction::markAllUncertain() {
-  // After a failed fdatasync the kernel may count the pages as clean: another one would report success for
-  // bytes that are nowhere. Which requests had a record there is not known, so it is all that is pending, and
-  // it goes to another file.
+  // After a failed fdatasync the kernel may mark the pages as clean, so that another fdatasync would report
+  // success for bytes that never reached the disk. It is not known which requests had a record among them, so
+  // all pending requests are rewritten, to another file.
   const std::uint64_t durable = parts_.commit.durable();
   std::uint64_t endsAt = parts_.commit.position();
   std::uint64_t from = parts_.records.newest().sequence;
@@ -65,7 +66,7 @@
     if (segment.rewrittenAt > durable) segment.rewrittenAt = kUncertain;
   };
   std::for_each(segments.rbegin(), segments.rend(), distrust);
-  // What an earlier failed sync left uncertain may still stand where it did.
+  // Segments that an earlier failed sync left uncertain may not have been rewritten yet.
   uncertainFrom_ = hasUncertain() ? std::min(uncertainFrom_, from) : from;
   uncertainUpTo_ = parts_.records.newest().sequence;
   parts_.writer.abandonSegment();
@@ -75,7 +76,7 @@
   if (uncertainUpTo_ == 0 || parts_.records.firstLive(0, uncertainUpTo_) != nullptr) return hasUncertain();
   releaseUncertain();
   uncertainUpTo_ = 0;
-  trustedFrom_ = parts_.commit.position();
+  certainFrom_ = parts_.commit.position();
   return false;
 }
 
@@ -91,17 +92,17 @@
     if (segment.rewrittenAt == kUncertain) segment.rewrittenAt = parts_.commit.position();
 }
 
-bool Compaction::rewrite(LiveRecords::Segment& segment, std::size_t most) {
+bool Compaction::rewrite(LiveRecords::Segment& segment, std::size_t maxBytes) {
   const std::uint64_t sequence = segment.sequence;
   const std::uint32_t first = segment.firstEntry;
   LiveRecords& records = parts_.records;
   if (!parts_.writer.ready(records[first].live)) return false;
   if (records.newest().sequence == sequence) return true;
-  const std::vector<Rewritten> rewritten = encodeLive(first, most);
+  const std::vector<Rewritten> rewritten = encodeLive(first, maxBytes);
   if (!parts_.writer.appendFrames(frames_)) return false;
   parts_.statistics.rewrittenBytes += frames_.size();
   std::uint64_t& rewrittenAt = records.find(sequence)->rewrittenAt;
-  rewrittenAt = std::max(rewrittenAt, parts_.commit.position());  // kUncertain stays
+  rewrittenAt = std::max(rewrittenAt, parts_.commit.position());  // keeps kUncertain, the largest value
   for (const Rewritten& each : rewritten) {
     records.place(each.entry, records.newest(), each.bytes);
     records[each.entry].request->recordedAsAmbiguous = false;
@@ -110,19 +111,19 @@
   return true;
 }
 
-std::vector<Compaction::Rewritten> Compaction::encodeLive(std::uint32_t first, std::size_t most) {
+std::vector<Compaction::Rewritten> Compaction::encodeLive(std::uint32_t first, std::size_t maxBytes) {
   const LiveRecords& records = parts_.records;
   const std::size_t segmentBytes = parts_.writer.usage().segmentBytes;
   const std::size_t left = segmentBytes - std::min(segmentBytes, records.newest().bytes);
-  const double untilMs = parts_.clock.steadyMs() + parts_.planner.tuning().maxStepMs;
+  const double stepEndMs = parts_.clock.steadyMs() + parts_.planner.tuning().maxStepMs;
   std::vector<Rewritten> rewritten;
   frames_.clear();
   for (std::uint32_t entry = first; entry != LiveRecords::kNone; entry = records[entry].next) {
     const PendingRequest& request = *records[entry].request;
     const std::size_t bytes = kFrameBytes + encodedSize(request);
-    if (!rewritten.empty() && frames_.size() + bytes > std::min(most, left)) break;
+    if (!rewritten.empty() && frames_.size() + bytes > std::min(maxBytes, left)) break;
     const bool checksClock = rewritten.size() % kRecordsPerClockCheck == kRecordsPerClockCheck - 1;
-    if (checksClock && parts_.clock.steadyMs() > untilMs) break;
+    if (checksClock && parts_.clock.steadyMs() > stepEndMs) break;
     const std::size_t frame = openFrame(frames_);
     encode(request, frames_);
     closeFrame(frames_, frame, parts_.writer.salt(), records.newest().sequence);
--- a/src/journal/compaction.h
+++ b/src/journal/compaction.h
@@ -1,16 +1,18 @@
-// Compaction in bounded steps: what is still live in the oldest segment is written anew at the end of the
-// log, and the segment is removed.
+// Compacts the journal in bounded steps: the live records of the oldest segment are rewritten at the end of
+// the log, and then the segment is deleted.
 //
-// After a failed sync of the disk, what the files that it was to cover hold is uncertain, and all that is
-// live is written anew, in two parts. First what stands in those files: it is where earlier compaction moved
-// records from segments that must not go before these are safe again. Then the rest, from the oldest segment
-// on; each goes once a sync has covered what was written anew of it, which makes space for the next.
+// After a failed fdatasync the contents of the files that it was meant to cover are uncertain, so every live
+// record has to be rewritten, in two phases. The records in the uncertain files come first, because earlier
+// compaction may have moved records there from older segments, and those segments must be kept until the
+// records are durable again. The other live records follow, from the oldest segment on; each segment is
+// deleted once a sync has covered its rewritten records, which frees space for the next one.
 //
-//   if (compaction.wanted()) good = compaction.step();
+//   if (compaction.wanted()) ok = compaction.step();
 //
-// What stood of a request in the segment it leaves counts no more: a reading that meets both records takes
-// the later one. A segment goes only when what was rewritten from it is as safe as the level asks.
-// One thread. A step costs at most the planner's bytes and milliseconds, however much is pending.
+// If recovery finds both the original and the rewritten record of a request, it uses the later one. A segment
+// is deleted only when its rewritten records are as durable as the durability level requires.
+// Not thread-safe. A step rewrites at most as many bytes, and takes at most as many milliseconds, as the
+// planner allows, regardless of the number of pending requests.
 #pragma once
 
 #include <cstddef>
@@ -29,7 +31,7 @@
 
 class Compaction {
  public:
-  // All of them outlive it.
+  // The referenced objects must outlive the Compaction.
   struct Parts {
     const Clock& clock;
     const JournalPlanner& planner;
@@ -41,18 +43,21 @@
 
   explicit Compaction(const Parts& parts) : parts_(parts) {}
 
+  // Returns whether there is anything to compact.
   bool wanted() const;
-  // false: the disk refused.
+  // Returns false if an operation on the disk failed.
   bool step();
 
-  // A sync failed: all that is live in the segments written so far has to be written anew.
+  // To be called after a failed sync. All live records in the segments written so far are then uncertain and
+  // have to be rewritten.
   void markAllUncertain();
-  // Whether that is still so; clears it where nothing of them is live any more.
+  // Returns whether there are still live records in uncertain segments. Resets the state once there are none.
   bool refreshUncertain();
-  // The same as last looked at: nothing new may be accepted meanwhile.
+  // Returns the result of the latest `refreshUncertain`. No request may be accepted while it is true.
   bool hasUncertain() const { return uncertainUpTo_ != 0; }
-  // From which durable position on what was written before is no longer in doubt for an earlier failed sync.
-  std::uint64_t certainFrom() const { return trustedFrom_; }
+  // Once the durable position has reached this position, no record written before it is uncertain because of
+  // an earlier failed sync.
+  std::uint64_t certainFrom() const { return certainFrom_; }
 
  private:
   struct Rewritten {
@@ -60,25 +65,27 @@
     std::size_t bytes = 0;
   };
 
-  // The segment to rewrite next while there are uncertain ones.
+  // Returns the segment to rewrite next. There must be an uncertain segment with live records.
   LiveRecords::Segment& nextUncertain();
-  // What stands in the uncertain segments has been written anew, so that where it came from waits for the
-  // next sync alone.
+  // To be called when the live records of the uncertain segments have been rewritten. The older segments from
+  // which these records had been moved can then be deleted after the next successful sync.
   void releaseUncertain();
-  // Removes the oldest segments as far as nothing of them is needed any more. false: the disk refused.
+  // Deletes the oldest segments that are no longer needed. Returns false if the disk operation failed.
   bool deleteRewritten();
-  // Rewrites the segment's first live requests, `most` bytes of them.
-  bool rewrite(LiveRecords::Segment& segment, std::size_t most);
-  // Encodes them for the newest segment, into `frames_`.
-  std::vector<Rewritten> encodeLive(std::uint32_t first, std::size_t most);
-  // All of a request stands in one record again: what its attempts used up of the reserve is given back.
+  // Rewrites the first live requests of the segment, up to `maxBytes`. Returns false if the write failed.
+  bool rewrite(LiveRecords::Segment& segment, std::size_t maxBytes);
+  // Encodes live requests from the entry `first` on into `frames_`, as frames of the newest segment.
+  std::vector<Rewritten> encodeLive(std::uint32_t first, std::size_t maxBytes);
+  // Restores the request's full reserve if there is space for it: a rewritten request is one complete record
+  // again, which includes what its attempt records had taken from the reserve.
   void refillReserve(std::uint32_t entry);
 
   Parts parts_;
-  // The oldest and the newest segment that a failed sync was to cover; uncertainUpTo_ 0: none.
+  // Sequence numbers of the oldest and the newest segment that a failed sync was meant to cover. If
+  // uncertainUpTo_ is 0, no segment is uncertain.
   std::uint64_t uncertainFrom_ = 0;
   std::uint64_t uncertainUpTo_ = 0;
-  std::uint64_t trustedFrom_ = 0;
+  std::uint64_t certainFrom_ = 0;
   std::string frames_;
 };
 
--- a/src/journal/disk_budget.h
+++ b/src/journal/disk_budget.h
@@ -1,5 +1,5 @@
-// Disk space that others than the journal may reserve, out of the same limit. The journal has the first
-// claim: it gives none that the pending requests may still need. One thread; O(1).
+// Lets other components reserve disk space out of the journal's disk budget. The journal has priority: space
+// that pending requests may still need is never handed out. Not thread-safe; O(1).
 #pragma once
 
 #include <cstddef>
@@ -9,9 +9,10 @@
 class DiskBudget {
  public:
   virtual ~DiskBudget() = default;
-  // In complete blocks (`roundUpToBlocks`). false: there is no space for them now.
+  // Reserves `bytes`, which must be a multiple of the block size (see `roundUpToBlocks`). Returns false if
+  // there is not enough free space now.
   virtual bool reserve(std::size_t bytes) = 0;
-  // Bytes taken, or of a file that was there at the start and is gone.
+  // Gives back reserved bytes, or those of a deleted file that already existed when the journal was opened.
   virtual void release(std::size_t bytes) = 0;
 };
 
--- a/src/journal/disk_faults.h
+++ b/src/journal/disk_faults.h
@@ -1,10 +1,10 @@
-// Failed operations of the journal on its folder: each is logged and counted, and starts a pause in which
-// nothing new is begun, since each further try costs a call into a file system that is failing.
+// Handles failed file operations of the journal. Each failure is logged and counted, and starts a pause
+// during which no new work is begun, because every retry is a call into a failing file system.
 //
 //   faults.report({"write", name, EIO});
 //   if (faults.pausing()) return false;
 //
-// One thread; O(1) and at most one line of the log.
+// Not thread-safe. Cost: O(1) and at most one log line.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,12 @@
 
 class DiskFaults {
  public:
-  // `pauseMs`: how long each failure pauses the journal. `clock` and `count` outlive it; `count` is raised by
-  // one for each failure.
+  // `pauseMs` is the length of the pause after a failure. `count` is incremented for each failure. `clock`
+  // and `count` must outlive this object.
   DiskFaults(const Clock& clock, Log log, double pauseMs, std::uint64_t& count);
 
-  // Logs `journal.fault`, at most once in the log's own interval.
+  // Counts the failure, starts the pause, and logs `journal.fault` at most once per interval for repeated
+  // messages.
   void report(const FileError& error);
   bool pausing() const { return clock_.steadyMs() < pausedUntilMs_; }
 
@@ -30,7 +31,7 @@
   Log log_;
   double pauseMs_;
   std::uint64_t& count_;
-  double pausedUntilMs_ = 0;  // by the steady clock
+  double pausedUntilMs_ = 0;  // on the steady clock
 };
 
 }  // namespace myrtleloft
--- a/src/journal/errors.h
+++ b/src/journal/errors.h
@@ -1,27 +1,27 @@
-// What failed in the journal's folder: the operation, the file, and the system's number for the cause.
+// Errors of operations on the journal's folder: the operation, the file, and the errno.
 //
 //   const FileError error{"create", name, ENOSPC};
 //   error.message();     // "cannot create journal-...2a.seg: No space left on device"
 //
-// Plain values; safe for several threads.
+// Plain values without shared state.
 #pragma once
 
 #include <string>
 
 namespace myrtleloft {
 
-// One operation on a file or folder that failed.
+// A failed operation on a file or folder.
 struct FileError {
-  std::string operation;  // as it stands behind "cannot": "create", "lock the journal in"
-  std::string file;       // a path, or a name in the journal's folder
-  int number = 0;         // an errno
+  std::string operation;  // phrase that follows "cannot", e.g. "create" or "lock the journal in"
+  std::string file;       // path, or file name within the journal's folder
+  int number = 0;         // errno value
 
   std::string message() const;
 };
 
-// Why a folder cannot be used or read.
+// The reason why a journal folder cannot be opened or read.
 struct JournalError {
-  FileError cause;  // `number` is 0 where no system call failed, as with a format that is not known
+  FileError cause;  // `number` is 0 if no system call failed, e.g. for an unknown format version
   std::string message;
 
   JournalError(FileError error);
--- a/src/journal/files.cpp
+++ b/src/journal/files.cpp
@@ -17,19 +17,20 @@
 namespace myrtleloft {
 namespace {
 
-// Of the call that has just failed.
-FileError lastError(const char* operation, const std::string& path) {
+// The error of the system call that has just failed, from errno.
+FileError errorFromErrno(const char* operation, const std::string& path) {
   const int number = errno;
   return {operation, path, number};
 }
 
-// Of a call that returns 0 where it succeeded.
+// Returns std::nullopt if `result` is 0, as after a successful system call, else the error from errno.
 std::optional<FileError> resultOf(int result, const char* operation, const std::string& path) {
   if (result == 0) return std::nullopt;
-  return lastError(operation, path);
+  return errorFromErrno(operation, path);
 }
 
-// Of a call that a signal, or a file system that was waited for, may end before it has done anything.
+// Repeats a system call for as long as it fails with EINTR. A signal can interrupt it, as can a wait for a
+// slow file system, before it has had any effect.
 template <typename Call>
 int retried(const Call& call) {
   int result = call();
@@ -48,7 +49,7 @@
       if (put < 0 && errno == EINTR) continue;
       if (put <= 0) {
         if (put == 0) errno = ENOSPC;
-        written.error = lastError("write", path_);
+        written.error = errorFromErrno("write", path_);
         return written;
       }
       written.put += static_cast<std::size_t>(put);
@@ -76,14 +77,14 @@
   Fd fd_;
 };
 
-// Locks an open file; where another process has locked it, reads which.
+// Locks an open file without waiting. If another process holds the lock, the error includes its owner text.
 std::optional<LockError> lockFile(const Fd& fd, const std::string& path) {
-  if (!fd) return LockError{lastError("lock", path), {}};
+  if (!fd) return LockError{errorFromErrno("lock", path), {}};
   if (::flock(fd.get(), LOCK_EX | LOCK_NB) == 0) return std::nullopt;
-  LockError failure{lastError("lock", path), {}};
+  LockError failure{errorFromErrno("lock", path), {}};
   std::array<char, 256> text;
-  const ssize_t got = ::pread(fd.get(), text.data(), text.size(), 0);
-  failure.owner.assign(text.data(), got > 0 ? static_cast<std::size_t>(got) : 0);
+  const ssize_t count = ::pread(fd.get(), text.data(), text.size(), 0);
+  failure.owner.assign(text.data(), count > 0 ? static_cast<std::size_t>(count) : 0);
   return failure;
 }
 
@@ -100,27 +101,27 @@
   return files;
 }
 
-Result<std::string, FileError> PosixFiles::read(const std::string& path, std::size_t most) {
+Result<std::string, FileError> PosixFiles::read(const std::string& path, std::size_t maxBytes) {
   const Fd fd(retried([&] { return ::open(path.c_str(), O_RDONLY | O_CLOEXEC); }));
-  struct stat about {};
-  if (!fd || ::fstat(fd.get(), &about) != 0) return lastError("read", path);
-  std::string bytes(std::min(static_cast<std::size_t>(about.st_size), most), '\0');
-  std::size_t have = 0;
-  while (have < bytes.size()) {
-    const ssize_t got = ::read(fd.get(), bytes.data() + have, bytes.size() - have);
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) return lastError("read", path);
-    if (got == 0) break;
-    have += static_cast<std::size_t>(got);
+  struct stat status {};
+  if (!fd || ::fstat(fd.get(), &status) != 0) return errorFromErrno("read", path);
+  std::string bytes(std::min(static_cast<std::size_t>(status.st_size), maxBytes), '\0');
+  std::size_t bytesRead = 0;
+  while (bytesRead < bytes.size()) {
+    const ssize_t count = ::read(fd.get(), bytes.data() + bytesRead, bytes.size() - bytesRead);
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) return errorFromErrno("read", path);
+    if (count == 0) break;
+    bytesRead += static_cast<std::size_t>(count);
   }
-  bytes.resize(have);
+  bytes.resize(bytesRead);
   return bytes;
 }
 
 Result<std::shared_ptr<OutFile>, FileError> PosixFiles::create(const std::string& path) {
   constexpr int kNew = O_WRONLY | O_CREAT | O_EXCL | O_APPEND | O_CLOEXEC;
   Fd fd(retried([&] { return ::open(path.c_str(), kNew, 0600); }));
-  if (!fd) return lastError("create", path);
+  if (!fd) return errorFromErrno("create", path);
   return std::shared_ptr<OutFile>(std::make_shared<PosixOutFile>(std::move(fd), path));
 }
 
@@ -134,7 +135,7 @@
 
 std::optional<FileError> PosixFiles::syncFolder(const std::string& folder) {
   const Fd fd(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  if (!fd) return lastError("sync", folder);
+  if (!fd) return errorFromErrno("sync", folder);
   return resultOf(retried([&] { return ::fsync(fd.get()); }), "sync", folder);
 }
 
@@ -142,7 +143,8 @@
                                                                 const std::string& owner) {
   Fd fd(retried([&] { return ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600); }));
   if (auto failure = lockFile(fd, path)) return *std::move(failure);
-  // The owner is for people to read. A full disk must not stop a relay from starting for want of that.
+  // The owner text is only for diagnosis, so a failure to write it, e.g. on a full disk, is ignored: it must
+  // not keep a relay from starting.
   if (::ftruncate(fd.get(), 0) == 0 && ::pwrite(fd.get(), owner.data(), owner.size(), 0) < 0) {
   }
   return std::unique_ptr<FolderLock>(std::make_unique<PosixLock>(std::move(fd)));
--- a/src/journal/files.h
+++ b/src/journal/files.h
@@ -1,12 +1,12 @@
-// Every use of the disk goes through `Files`, so that a test can put a file system of its own beneath the
-// journal: one in memory, one that fails or ends the process at the n-th operation.
+// File system interface of the journal. All disk access goes through `Files`, so that tests can replace it
+// with a file system in memory, or with one that fails or ends the process at the n-th operation.
 //
 //   auto file = files.create(folder + "/a");
 //   if (!file) return file.error();
-//   const auto [put, error] = (*file)->append(bytes);     // put < bytes.size() with an error
+//   const auto [put, error] = (*file)->append(bytes);   // on an error, put may be less than bytes.size()
 //
-// An error says operation, path and errno; nothing here throws. Not safe for several threads, except
-// `OutFile::sync`, which one helper thread may call while the loop appends.
+// Errors carry the operation, the path and the errno; nothing throws. Not thread-safe, except that one other
+// thread may call `OutFile::sync` while the event loop's thread appends.
 #pragma once
 
 #include <cstddef>
@@ -21,33 +21,34 @@
 
 namespace myrtleloft {
 
-// A file being written at its end. Closed by its destructor.
+// A file opened for appending. The destructor closes it.
 class OutFile {
  public:
   struct Written {
-    std::size_t put = 0;  // bytes that did reach the file, also with an error
+    std::size_t put = 0;  // bytes appended, even if an error followed
     std::optional<FileError> error;
   };
 
   virtual ~OutFile() = default;
   virtual Written append(std::string_view bytes) = 0;
-  // Cuts the file off at `size`.
+  // Truncates the file to `size` bytes.
   virtual std::optional<FileError> truncate(std::size_t size) = 0;
-  // Waits until the file's bytes are on the disk. The one call that may take long.
+  // Waits until the contents of the file are on the disk (fdatasync). Only this call may block for long.
   virtual std::optional<FileError> sync() = 0;
 };
 
-// Locks a folder until it is destroyed; the end of the process, however it comes, unlocks it.
+// Holds the lock on a folder until destruction. The lock also ends with the process, even after a crash.
 class FolderLock {
  public:
   virtual ~FolderLock() = default;
 };
 
 struct LockError {
-  FileError error;    // EWOULDBLOCK: another process has the lock
-  std::string owner;  // what that process wrote into the file
+  FileError error;    // number is EWOULDBLOCK if another process holds the lock
+  std::string owner;  // what the holding process wrote into the lock file
 };
 
+// Name and size of a file in a folder.
 struct FileInfo {
   std::string name;
   std::size_t bytes = 0;
@@ -59,31 +60,32 @@
 
   virtual ~Files() = default;
 
-  // The plain files in a folder, unsorted. O(entries).
+  // Lists the regular files in a folder, in no particular order. O(entries).
   virtual Result<std::vector<FileInfo>, FileError> list(const std::string& folder) = 0;
-  // The file's first bytes, `most` of them where it has as many; ENOENT where there is none. O(what is read).
-  virtual Result<std::string, FileError> read(const std::string& path, std::size_t most) = 0;
+  // Reads up to `maxBytes` from the start of the file. Fails with ENOENT if the file does not exist.
+  // O(bytes read).
+  virtual Result<std::string, FileError> read(const std::string& path, std::size_t maxBytes) = 0;
   Result<std::string, FileError> read(const std::string& path) { return read(path, kUnlimited); }
-  // A new, empty file, readable by its owner alone. EEXIST where one has that name already.
+  // Creates an empty file that only its owner can read. Fails with EEXIST if the file exists.
   virtual Result<std::shared_ptr<OutFile>, FileError> create(const std::string& path) = 0;
   virtual std::optional<FileError> rename(const std::string& from, const std::string& to) = 0;
   virtual std::optional<FileError> remove(const std::string& path) = 0;
-  // Waits until the folder's names are on the disk.
+  // Waits until the directory entries of the folder are on the disk (fsync).
   virtual std::optional<FileError> syncFolder(const std::string& folder) = 0;
-  // Locks the file, making it where there is none, and writes `owner` into it for the next one to read. Fails
-  // at once and does not wait.
+  // Locks the file, creating it if necessary, and writes `owner` into it so that other processes can report
+  // who holds the lock. Never waits: fails at once if another process holds the lock.
   virtual Result<std::unique_ptr<FolderLock>, LockError> lock(const std::string& path,
                                                               const std::string& owner) = 0;
-  // The same, but makes and writes nothing: ENOENT where there is no such file.
+  // Locks the file without creating it or writing to it. Fails with ENOENT if it does not exist.
   virtual Result<std::unique_ptr<FolderLock>, LockError> lockIfExists(const std::string& path) = 0;
 };
 
-// The operating system's. Has no state, so any number may exist.
+// The file system of the operating system. Stateless, so there may be any number of instances.
 class PosixFiles : public Files {
  public:
   using Files::read;
   Result<std::vector<FileInfo>, FileError> list(const std::string& folder) override;
-  Result<std::string, FileError> read(const std::string& path, std::size_t most) override;
+  Result<std::string, FileError> read(const std::string& path, std::size_t maxBytes) override;
   Result<std::shared_ptr<OutFile>, FileError> create(const std::string& path) override;
   std::optional<FileError> rename(const std::string& from, const std::string& to) override;
   std::optional<FileError> remove(const std::string& path) override;
--- a/src/journal/folder_reader.cpp
+++ b/src/journal/folder_reader.cpp
@@ -9,8 +9,8 @@
 namespace myrtleloft {
 namespace {
 
-// A damaged number must not make a list of millions.
-constexpr std::uint64_t kMostMissingReported = 1000;
+// Bounds the number of reported segments if a corrupt sequence number makes millions appear to be missing.
+constexpr std::uint64_t kMaxMissingReported = 1000;
 
 }  // namespace
 
@@ -52,8 +52,8 @@
   return std::nullopt;
 }
 
-// Headers first: a version that is not known must be rejected before anything is believed, and the salt of a
-// segment whose header is damaged stands in the others.
+// All headers are read before any record: an unknown version must be rejected before any content is used, and
+// the salt for a segment with a damaged header is taken from another segment.
 FolderReader::Failure FolderReader::readHeaders() {
   for (std::size_t i = 0; i < found_.segments.size(); ++i)
     if (Failure failure = readHeaderOf(i)) return failure;
@@ -82,7 +82,8 @@
     found_.firstSegment = std::max(found_.firstSegment, header.firstSegment);
     if (header.convertedFingerprint != 0) found_.convertedFingerprint = header.convertedFingerprint;
   }
-  // Made, but its header not written when the process ended: nothing can stand in it.
+  // The process ended after it created the segment and before it wrote the complete header, so the segment
+  // has no records.
   if (at + 1 == found_.segments.size() && state.kind == HeaderState::Kind::kTorn) {
     segment.stale = true;
     found_.torn += start->size();
@@ -97,14 +98,15 @@
   const auto bytes = files_.read(path(kVersionOneName));
   if (!bytes) return bytes.error();
   found_.versionOneFingerprint = fingerprint(*bytes);
-  // Taken over already, but the process ended before the old file was removed.
+  // The version 1 file was already converted, but the process ended before it deleted the file.
   if (found_.convertedFingerprint == found_.versionOneFingerprint) return std::nullopt;
   found_.versionOne = true;
   replayVersionOne(*bytes, replay_, found_);
   return std::nullopt;
 }
 
-// The newest record of which segments may be gone stands near the end.
+// Only the newest SegmentsDeletedRecord counts. Each segment's header repeats what was known when the segment
+// began, so the record can only be in the newest segment.
 FolderReader::Failure FolderReader::readNewestDeletion() {
   std::size_t newest = found_.segments.size();
   while (newest > 0 && found_.segments[newest - 1].stale) --newest;
@@ -123,8 +125,8 @@
 
 std::size_t FolderReader::endOf(std::size_t at) const {
   const std::vector<SegmentInfo>& segments = found_.segments;
-  const bool stated = at + 1 < segments.size() && segments[at + 1].sequence == segments[at].sequence + 1;
-  return stated ? links_[at + 1].previousBytes : SegmentScanner::kUnknownEnd;
+  const bool isRecorded = at + 1 < segments.size() && segments[at + 1].sequence == segments[at].sequence + 1;
+  return isRecorded ? links_[at + 1].previousBytes : SegmentScanner::kUnknownEnd;
 }
 
 FolderReader::Failure FolderReader::readSegment(std::size_t at) {
@@ -143,7 +145,7 @@
     else if (mayBeTorn(at))
       found_.torn += piece.bytes;
     else
-      reportCorruption(piece, segment, "damaged");  // with the segment behind it damaged, it may be a hole
+      reportCorruption(piece, segment, "damaged");  // a later segment exists, so this may not be a torn write
   }
   if (const std::size_t end = endOf(at); end != SegmentScanner::kUnknownEnd) segment.validBytes = end;
   return std::nullopt;
@@ -155,7 +157,7 @@
   if (at > 0) before = std::max(before, found_.segments[at - 1].sequence);
   for (std::uint64_t missing = before + 1; missing < sequence; ++missing) {
     reportCorruption(segmentName(missing), 0, 0, "missing");
-    if (sequence - missing > kMostMissingReported) missing = sequence - 1;
+    if (sequence - missing > kMaxMissingReported) missing = sequence - 1;
   }
 }
 
@@ -163,8 +165,7 @@
   const std::size_t header = std::min(bytes_.size(), kSegmentHeaderBytes);
   if (!segment.headerGood) reportCorruption(segmentName(segment.sequence), 0, header, "damaged");
   segment.validBytes = header;
-  // With its header damaged it may have stated names as well: others of the folder show whether that is
-  // usual.
+  // A segment with a damaged header is assumed to have had a name table if any other segment has one.
   segment.named = segment.named || (!segment.headerGood && anyNamed_);
   if (segment.named)
     replay_.beginNamedSegment();
--- a/src/journal/folder_reader.h
+++ b/src/journal/folder_reader.h
@@ -1,8 +1,8 @@
-// One reading of a journal's folder, in steps; `recover` (journal/recovery.h) is its only user.
+// Reads the folder of a journal and replays its records; implements `recover` (journal/recovery.h).
 //
-// Segments are read in the order of their sequence numbers. Invariants: `found_.segments` has an element for
-// each segment from `listFolder` on, and `links_` from `readHeaders` on; `bytes_` are those of the segment
-// `loaded_`. One thread, used once.
+// Segments are read in the order of their sequence numbers. Invariants: `found_.segments` has one element per
+// segment after `listFolder`, and so has `links_` after `readHeaders`; `bytes_` is the content of segment
+// `loaded_`. Not thread-safe; `run` can be called once.
 #pragma once
 
 #include <cstdint>
@@ -29,10 +29,10 @@
  private:
   using Failure = std::optional<JournalError>;
 
-  // What the header of one segment states of its neighbours.
+  // What the header of a segment records about other segments.
   struct Links {
     std::uint64_t firstSegment = 1;
-    std::size_t previousBytes = SegmentScanner::kUnknownEnd;  // of the one before it
+    std::size_t previousBytes = SegmentScanner::kUnknownEnd;  // length of the preceding segment
   };
 
   Failure listFolder();
@@ -51,9 +51,10 @@
   void reportCorruption(const Piece& piece, SegmentInfo& segment, const char* what);
 
   std::string path(const std::string& name) const { return folder_ + "/" + name; }
-  // How much of a segment is the journal's, if the one behind it states that.
+  // Returns the length of the segment's valid content as recorded in the next segment's header, or
+  // kUnknownEnd if the next segment is missing or its header does not tell.
   std::size_t endOf(std::size_t at) const;
-  // Whether a torn record can stand at the end of the segment: in the last one that counts.
+  // Returns whether the segment may end with a torn record, which only the last segment in use can have.
   bool mayBeTorn(std::size_t at) const {
     return at + 1 >= found_.segments.size() || found_.segments[at + 1].stale;
   }
@@ -63,9 +64,9 @@
   const RecordVisitor& visit_;
   Replay replay_;
   Recovered found_;
-  std::vector<Links> links_;  // beside `found_.segments`
-  bool anyNamed_ = false;
-  std::uint64_t loaded_ = 0;  // the segment that `bytes_` is of; 0: none
+  std::vector<Links> links_;  // parallel to `found_.segments`
+  bool anyNamed_ = false;     // whether any segment with a good header has a name table
+  std::uint64_t loaded_ = 0;  // sequence number of the segment in `bytes_`; 0 if none is loaded
   std::string bytes_;
 };
 
--- a/src/journal/group_commit.cpp
+++ b/src/journal/group_commit.cpp
@@ -4,7 +4,7 @@
 
 namespace myrtleloft {
 
-void GroupCommit::wrote(std::size_t bytes, const std::shared_ptr<OutFile>& file) {
+void GroupCommit::recordWrite(std::size_t bytes, const std::shared_ptr<OutFile>& file) {
   position_ += bytes;
   if (!syncer_) return;
   if (unsynced_.empty() || unsynced_.back() != file) unsynced_.push_back(file);
@@ -12,7 +12,7 @@
 
 void GroupCommit::submit() {
   if (!canSubmit()) return;
-  SyncJob job{std::exchange(unsynced_, {}), std::exchange(newNames_, false), position_};
+  SyncJob job{std::exchange(unsynced_, {}), std::exchange(folderChanged_, false), position_};
   syncing_ = true;
   syncer_->submit(std::move(job));
 }
--- a/src/journal/group_commit.h
+++ b/src/journal/group_commit.h
@@ -1,13 +1,13 @@
-// How far the journal has written, and how far that is safely stored. At the level `group` one sync of the
-// disk, in another thread, covers all records written since the one before; at the level `process`, without a
-// syncer, what was written counts as stored.
+// Tracks the position up to which the journal has written, and the position up to which it is durable. At the
+// durability level `group`, one fdatasync on another thread covers all records written since the previous one
+// (group commit). At the level `process` there is no syncer, and written records count as durable.
 //
-//   commit.wrote(bytes, file);            // after each append
-//   commit.submit();                      // once per round of the event loop; starts a sync unless one is
-//   running while (auto done = commit.collect()) ...
+//   commit.recordWrite(bytes, file);   // after each append
+//   commit.submit();                   // once per iteration of the event loop
+//   while (auto done = commit.collect()) ...
 //
-// Invariants: durable() <= position(); at most one sync is running; a file that was written since the last
-// submission is in `unsynced_` once, in the order of writing. One thread; O(1) beyond the syncer's own cost.
+// Invariants: durable() <= position(); at most one sync is running; `unsynced_` has each file written since
+// the last submission once, in the order of writing. Not thread-safe; O(1) without the syncer's own cost.
 #pragma once
 
 #include <cstddef>
@@ -23,21 +23,23 @@
 
 class GroupCommit {
  public:
-  // Null: the level `process`. The syncer outlives it.
+  // `syncer` is null at the level `process`; otherwise it must outlive this object.
   explicit GroupCommit(Syncer* syncer) : syncer_(syncer) {}
 
-  // Bytes since the start.
+  // Both are in bytes written since the start of the process.
   std::uint64_t position() const { return position_; }
   std::uint64_t durable() const { return syncer_ ? durable_ : position_; }
 
-  void wrote(std::size_t bytes, const std::shared_ptr<OutFile>& file);
-  // A file got its name: the next sync covers the folder too.
-  void namedFile() { newNames_ = true; }
+  void recordWrite(std::size_t bytes, const std::shared_ptr<OutFile>& file);
+  // To be called after a file was created or renamed, so that the next sync includes the folder.
+  void recordCreatedFile() { folderChanged_ = true; }
 
-  // Whether `submit` would start a sync.
+  // Returns whether `submit` would start a sync.
   bool canSubmit() const { return syncer_ && !syncing_ && !unsynced_.empty(); }
+  // Starts a sync of all unsynced files, unless one is running or there are none.
   void submit();
-  // The next sync that has ended; nothing where there is none. A failed one leaves `durable` as it was.
+  // Returns the result of a finished sync, or std::nullopt if none has finished. A failed sync does not
+  // change `durable`.
   std::optional<SyncResult> collect();
 
  private:
@@ -45,7 +47,7 @@
   std::uint64_t position_ = 0;
   std::uint64_t durable_ = 0;
   std::vector<std::shared_ptr<OutFile>> unsynced_;
-  bool newNames_ = false;
+  bool folderChanged_ = false;
   bool syncing_ = false;
 };
 
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -9,8 +9,8 @@
 namespace myrtleloft {
 namespace {
 
-constexpr std::size_t kCompletionsAtOnce = 64;
-constexpr std::size_t kStartsPerSegment = 4;  // a segment is at least so many times what it begins with
+constexpr std::size_t kMaxCompletionsPerCall = 64;
+constexpr std::size_t kStartsPerSegment = 4;  // minimum ratio of a segment's size to that of its start
 
 std::size_t recordBytes(const PendingRequest& request) { return kFrameBytes + encodedSize(request); }
 
@@ -59,10 +59,11 @@
   const std::size_t bytes = recordBytes(request);
   if (faults_.pausing() || compaction_.hasUncertain() || bytes > kMaxRecordBytes) return false;
   writeCompletions();
-  // An id that comes again must not meet the completion of its predecessor behind it.
+  // If the new request has the same id as a completed one, the completion of the old request must not be
+  // recorded after the new request: recovery would then drop the new one.
   if (!unrecordedCompletions_.empty()) return false;
   if (!planner_.admits(usage(), bytes)) {
-    // The bound on what a segment has live may be an old one.
+    // The upper bound `largestLive` may be out of date.
     records_.measureLargestLive();
     if (!planner_.admits(usage(), bytes)) return false;
   }
@@ -74,7 +75,7 @@
 }
 
 template <typename RecordType>
-bool Journal::record(const RecordType& record, std::uint32_t entry, std::size_t grows,
+bool Journal::record(const RecordType& record, std::uint32_t entry, std::size_t growth,
                      std::size_t remainder) {
   frame_.clear();
   openFrame(frame_);
@@ -82,25 +83,25 @@
   const std::size_t bytes = frame_.size();
   if (!writer_.ready(bytes)) return false;
   const std::size_t reserve = records_[entry].reserve;
-  const bool reserved = reserve >= bytes + grows + remainder;
-  // The last of its records are written as long as they fit at all.
-  if (remainder > 0 && !reserved && !planner_.permits(usage(), bytes, grows)) return false;
+  const bool reserved = reserve >= bytes + growth + remainder;
+  // A record with no remainder, the last of its request, is limited only by the disk budget itself.
+  if (remainder > 0 && !reserved && !planner_.permits(usage(), bytes, growth)) return false;
   if (!writer_.appendFrame(frame_)) return false;
-  if (reserved) records_.setReserve(entry, reserve - (bytes + grows));
+  if (reserved) records_.setReserve(entry, reserve - (bytes + growth));
   return true;
 }
 
 bool Journal::recordAttempt(PendingRequest& request, RecordedAttempt attempt) {
   const std::uint32_t entry = request.journalEntry;
-  if (entry == kNone) return false;  // completed, or never accepted
+  if (entry == kNone) return false;  // completed or never accepted
   attempt.attempt = request.attempts;
   writeCompletions();
-  const std::size_t grows = encodedSize(attempt);
+  const std::size_t growth = encodedSize(attempt);
   AttemptRecord made{request.id, std::move(attempt)};
-  if (!record(made, entry, grows, planner_.tuning().completionReserve)) return false;
+  if (!record(made, entry, growth, planner_.tuning().completionReserve)) return false;
   ++request.attempts;
   request.ambiguousAttempts.push_back(std::move(made.attempt));
-  records_.setLive(entry, records_[entry].live + grows);
+  records_.setLive(entry, records_[entry].live + growth);
   return true;
 }
 
@@ -138,9 +139,9 @@
   return unrecordedCompletions_.empty();
 }
 
-// As many at once as occupy the loop for a moment only: after a fault, thousands may wait.
+// Bounded per call so that the event loop is not blocked: after a disk failure thousands may be waiting.
 void Journal::writeCompletions() {
-  for (std::size_t i = 0; i < kCompletionsAtOnce && !unrecordedCompletions_.empty(); ++i) {
+  for (std::size_t i = 0; i < kMaxCompletionsPerCall && !unrecordedCompletions_.empty(); ++i) {
     if (!writer_.append(CompletedRecord{unrecordedCompletions_.front()})) return;
     unrecordedCompletions_.pop_front();
   }
@@ -155,7 +156,7 @@
 void Journal::release(std::size_t bytes) { writer_.removeUsed(std::min(writer_.used(), bytes)); }
 
 bool Journal::wantsCompaction() const {
-  if (!writer_.begun()) return false;  // there is nowhere to rewrite to
+  if (!writer_.begun()) return false;  // no segment to rewrite records to
   if (!unrecordedCompletions_.empty()) return true;
   return unattached_ == 0 && compaction_.wanted();
 }
@@ -166,14 +167,14 @@
   writeCompletions();
   const bool hasUncertain = compaction_.refreshUncertain();
   const bool good = compaction_.step();
-  // Segments go only after a sync of what was written anew, and their space is needed for more of it. It
-  // promises nothing until all of that is done.
+  // Segments can be deleted only after a sync of the rewritten records, and further rewrites need their
+  // space. This sync does not make `durable()` advance: that waits until all uncertain records are rewritten.
   if (hasUncertain && !faults_.pausing()) commit_.submit();
   return good;
 }
 
 void Journal::sync() {
-  // What a failed sync left uncertain is safe only when it has been rewritten: no promise before that.
+  // Records that a failed sync left uncertain become durable only by being rewritten.
   if (!commit_.canSubmit() || compaction_.refreshUncertain()) return;
   commit_.submit();
 }
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -1,26 +1,26 @@
-// The journal: which requests are pending, on disk, in a write-ahead log of numbered segments that outlasts
-// the process and is compacted in bounded steps.
+// The journal: a write-ahead log of the pending requests, in numbered segments that survive the process and
+// are compacted in bounded steps.
 //
 //   Journal journal({files, clock, log}, {folder, diskBytes});
 //   auto found = journal.open();
-//   if (!found) ...               // locked by another process, a newer version, no space: found.error()
+//   if (!found) ...             // e.g. locked by another process, newer version, no space: see found.error()
 //   for (RecoveredRequest& recovered : found->pending) {
-//     ...                         // move the request to where it lives from now on
+//     ...                       // move the request to its final address
 //     journal.attach(request);
 //   }
 //
-//   if (!journal.recordAccepted(request)) ...                            // not recorded: reject it
-//   if (!journal.recordAttempt(request, {"E1", zone, wallMs})) ...       // not recorded: do not send
+//   if (!journal.recordAccepted(request)) ...                        // not recorded: reject the request
+//   if (!journal.recordAttempt(request, {"E1", zone, wallMs})) ...   // not recorded: do not send the call
 //   journal.recordCompleted(request);
-//   journal.compactStep();                                               // once per round of the event loop
+//   journal.compactStep();                                           // once per iteration of the event loop
 //
-// The journal changes a request's attempts, ambiguous attempts and final status itself, together with their
-// records, so that memory and disk agree. It has a pointer to each request from `recordAccepted` or `attach`
-// to `recordCompleted`; until then a request must stay where it is.
+// The journal updates a request's attempts, ambiguous attempts and final status itself, together with the
+// records, so that memory and disk agree. It stores a pointer to each request from `recordAccepted` or
+// `attach` until `recordCompleted`; the request must not be moved in between.
 //
-// One thread; nothing throws, and nothing waits for the disk to finish: what write(2) accepted outlasts the
-// process, and that is all the level `process` promises. Each `record...` costs O(size) and one write(2);
-// `compactStep` what the planner bounds it to.
+// Not thread-safe. No function throws or waits for the disk: data that write(2) has accepted survives the end
+// of the process, which is all that the durability level `process` guarantees. Each `record...` function
+// costs O(size) and one write(2); the cost of `compactStep` is bounded by the planner.
 #pragma once
 
 #include <algorithm>
@@ -56,7 +56,7 @@
     Files& files;
     const Clock& clock;
     Log log;
-    Syncer* syncer = nullptr;  // with one, the level is `group`
+    Syncer* syncer = nullptr;  // if set, the durability level is `group`
   };
 
   Journal(const Parts& parts, JournalOptions options);
@@ -64,91 +64,102 @@
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  // Bytes that each segment of a process with such names begins with. A segment is at least four times as
-  // large, and more than a 32nd of the disk makes the journal useless: whoever reads the settings rejects it.
+  // Returns the number of bytes at the start of each segment that hold the header, the names and the clock. A
+  // segment is at least four times as large. The configuration rejects names for which this exceeds 1/32 of
+  // the disk budget, because too little space would be left for records.
   static std::size_t headBytes(const NameTable& names) { return SegmentWriter::startBytes(names); }
 
-  // Locks the folder, reads it, takes over a file of version 1, quarantines damaged bytes, and begins a
-  // segment. An error: the folder cannot be used, and nothing in it was changed that a later start needs.
-  // Where only the segment could not be begun, the journal is open all the same, and not `writable`: what was
-  // found is pending, and nothing can be recorded until a segment could be begun. To be called once.
+  // Locks the folder, reads it, converts a version 1 file, quarantines damaged bytes, and begins a segment.
+  // On an error the folder cannot be used, and nothing that a later start needs has been changed. If only the
+  // new segment could not be begun, the journal is open but not `writable`: the recovered requests are
+  // pending, and nothing can be recorded until a segment has been begun. To be called once.
   Result<Recovered, JournalError> open();
-  // Whether there is a segment to write to. Tries to begin one where there never was; O(1) and a file's
-  // creation.
+  // Returns whether there is a segment to write to. Tries to begin one if none was begun yet; costs O(1) and
+  // the creation of a file.
   bool writable() { return writer_.begin(); }
-  // Why there is none, after `writable` said no.
+  // The reason why the last call of `writable` returned false.
   JournalError beginError() const;
-  // A request from `open` has found its place. Compaction waits until all have.
+  // Registers the final address of a request that `open` returned. Compaction starts only when all of them
+  // are attached.
   void attach(PendingRequest& request);
 
-  // Each returns false where it could not be recorded, as for a request that is not pending; the log then
-  // still ends with a complete record. Also false where too little is free to record all that may follow
-  // until the request is completed.
+  // The `record...` functions return false if nothing was recorded, e.g. because the request is not pending;
+  // the log then still ends with a complete record.
+  //
+  // Records an accepted request. Also returns false if there is too little free space for all records that
+  // may follow until the request is completed.
   bool recordAccepted(PendingRequest& request);
-  // Before an attempt's first byte. Numbers the attempt itself.
+  // Records an attempt, and assigns its number. To be called before the first byte of the call is sent.
   bool recordAttempt(PendingRequest& request, RecordedAttempt attempt);
-  // The newest attempt is known not executed. Withdrawn in memory also where it cannot be recorded: the disk
-  // then has one ambiguous attempt too many (PendingRequest::recordedAsAmbiguous), which loses no request and
-  // repeats none. Of a request with a final status nothing is withdrawn: the status may have been said, and
-  // without its record the next process decides by the attempts. false then, unless there is none.
+  // Records that the newest attempt is known not executed. The attempt is removed in memory even if that
+  // cannot be recorded. The disk then has one ambiguous attempt too many
+  // (PendingRequest::recordedAsAmbiguous), which neither loses nor repeats a request. Nothing is removed from
+  // a request with a final status: the status may already have been sent to the platform, and if its record
+  // is missing, the next process decides by the attempts. Returns false in that case, unless the request has
+  // no ambiguous attempt.
   bool recordNotExecuted(PendingRequest& request);
-  // Given up: drops the body. `retryAfterMs`: when the client should come back.
+  // Records that the request ended with a final status, and drops its body. `retryAfterMs` is the delay after
+  // which the client should retry.
   bool recordFinalStatus(PendingRequest& request, FinalStatus status, double retryAfterMs);
-  // Nothing is left to do; the journal forgets the pointer. false: the record could not be written, and is
-  // tried again later; until `completionRecorded` the next process would find the request pending.
+  // Records that nothing is left to do for the request, and drops the pointer to it. Returns false if the
+  // record could not be written yet; it is retried later. Until `completionRecorded` returns true, a
+  // restarted process would recover the request as pending.
   bool recordCompleted(PendingRequest& request);
-  // Whether no completion of that id is still to be recorded. O(completions not yet recorded).
+  // Returns whether there is no unrecorded completion of this id. O(unrecorded completions).
   bool completionRecorded(const std::string& id) const {
     return std::find(unrecordedCompletions_.begin(), unrecordedCompletions_.end(), id) ==
            unrecordedCompletions_.end();
   }
 
-  // The time that goes into its records, in ms: the wall clock's at the start, and nobody can set it since.
+  // The time used in records, in ms: the wall clock's time at the start, advanced by the machine's clock, so
+  // that later changes of the wall clock do not affect it.
   double nowMs() const { return clock_.nowMs(); }
 
-  // Disk space for others' files in the folder; those there at `open` count already.
+  // Disk space for files of other components in the folder. Files that existed at `open` are already counted.
   bool reserve(std::size_t bytes) override;
   void release(std::size_t bytes) override;
 
-  // Whether there is something to compact.
+  // Returns whether there is anything to compact, or a completion to record.
   bool wantsCompaction() const;
-  // Rewrites some live requests, or deletes some segments. Its cost is bounded by the planner's step, however
-  // much is pending. false: the disk refused; it is tried again after a pause.
+  // Rewrites some live requests or deletes some segments. The planner bounds the cost of a step, regardless
+  // of the number of pending requests. Returns false if a disk operation failed; it is retried after a pause.
   bool compactStep();
 
-  // How far it has written, and how far that is as safe as the level asks; in bytes since the start. What a
-  // record promises (a 202, a call) waits until `durable` has come to the position after it. At the level
-  // `process` both are always the same.
+  // The position up to which records are written, and the position up to which they are durable as the
+  // durability level requires, in bytes since the start of the process. An action that depends on a record
+  // (the answer 202, a call) must wait until `durable` has reached the position after the record. At the
+  // level `process` both are always equal.
   std::uint64_t position() const { return commit_.position(); }
   std::uint64_t durable() const {
-    const bool trusted = !compaction_.hasUncertain() && commit_.durable() >= compaction_.certainFrom();
-    return trusted ? commit_.durable() : durableBeforeFault_;
+    const bool certain = !compaction_.hasUncertain() && commit_.durable() >= compaction_.certainFrom();
+    return certain ? commit_.durable() : durableBeforeFault_;
   }
-  // Sends what is written and not yet stored to be synced, unless a sync is running. Cheap; once per round of
-  // the event loop.
+  // Starts a sync of all records that are not durable yet, unless a sync is running. To be called once per
+  // iteration of the event loop; does not wait.
   void sync();
-  // Takes in syncs that have ended. false: one failed. What it was to cover may not be on the disk, whatever
-  // later syncs say of those files: nothing that waits may be promised, and all that is live in them is
-  // rewritten, in steps. Until then nothing new is accepted.
+  // Processes finished syncs. Returns false if one failed. The data that it was meant to cover may then be
+  // missing on the disk, whatever later syncs of the same files report. So `durable` does not advance and no
+  // request is accepted until `compactStep` has rewritten all live records to other files.
   bool collect();
 
-  // Sequence numbers, for tools; 0: there is no segment.
+  // Sequence numbers of the first and the last segment, for tools; 0 if there is no segment.
   std::uint64_t oldestSegment() const { return records_.empty() ? 0 : records_.oldest().sequence; }
   std::uint64_t newestSegment() const { return records_.empty() ? 0 : records_.newest().sequence; }
 
   const JournalStatistics& statistics() const { return statistics_; }
   DiskUsage usage() const { return writer_.usage(); }
-  // How long to wait after a failure before trying again makes sense, in ms.
+  // How long to wait after a disk failure before a retry, in ms.
   double faultPauseMs() const { return planner_.tuning().faultPauseMs; }
 
  private:
   static constexpr std::uint32_t kNone = LiveRecords::kNone;
 
-  // Writes a record of a pending request, from its reserve as far as that leaves `remainder`, else from what
-  // is free besides; with `remainder` 0 as long as it fits at all. `grows`: by how much the request's
+  // Writes a record of a pending request. The space is taken from the request's reserve if at least
+  // `remainder` bytes of it are left then, else from the free space. With a `remainder` of 0 the record is
+  // written whenever the disk budget has space for it. `growth` is the number of bytes by which the request's
   // complete record grows.
   template <typename RecordType>
-  bool record(const RecordType& record, std::uint32_t entry, std::size_t grows, std::size_t remainder);
+  bool record(const RecordType& record, std::uint32_t entry, std::size_t growth, std::size_t remainder);
   void writeCompletions();
 
   Parts parts_;
@@ -162,8 +173,8 @@
   LiveRecords records_;
   SegmentWriter writer_;
   Compaction compaction_;
-  std::uint64_t durableBeforeFault_ = 0;           // what the latest failed sync found durable
-  std::size_t unattached_ = 0;                     // requests from `open` without a place
+  std::uint64_t durableBeforeFault_ = 0;           // `durable()` at the latest failed sync
+  std::size_t unattached_ = 0;                     // number of requests from `open` without `attach`
   std::deque<std::string> unrecordedCompletions_;  // ids
   std::string frame_;
 };
--- a/src/journal/journal_clock.h
+++ b/src/journal/journal_clock.h
@@ -1,14 +1,15 @@
-// The time that records state. It is the wall clock's at the start of the process and goes on with the
-// machine's clock from then on, so that nobody's setting of the wall clock changes the spans between records.
-// Each segment begins with an anchor that ties both together, and by it a later process within the same run
-// of the machine finds out how long ago something was, whatever the wall clock shows by then.
+// The clock for the times in records. It starts at the wall clock's time when the process starts and advances
+// with the machine's monotonic clock, so that changes of the wall clock do not affect the intervals between
+// records. Each segment begins with an anchor, one moment read on both clocks. With it, a later process that
+// runs before the next boot of the machine can tell how long ago something happened, even if the wall clock
+// was changed in the meantime.
 //
 //   JournalClock clock(systemClock);
-//   record(clock.nowMs()); ... clock.anchor() ...                    // by this process
-//   if (const auto shift = shiftMs(recorded, clock.anchor())) time += *shift;   // by a later one
+//   record(clock.nowMs()); ... clock.anchor() ...                               // in this process
+//   if (const auto shift = shiftMs(recorded, clock.anchor())) time += *shift;   // in a later process
 //
-// In another run of the machine there is no common clock but the wall clock: exchange/recovered.h says what
-// applies then. All in milliseconds, O(1).
+// After a reboot the wall clock is the only common clock; see exchange/recovered.h for the rules that apply
+// then. All times are in milliseconds. Cost: O(1).
 #pragma once
 
 #include <cstdint>
@@ -18,23 +19,23 @@
 
 namespace myrtleloft {
 
-// One moment by two clocks.
+// One moment as read on the machine's clock and on the journal's clock.
 struct ClockAnchor {
-  std::uint64_t machineRun = 0;  // a hash of the name of the machine's run; 0: not known
+  std::uint64_t machineRun = 0;  // hash that identifies the boot of the machine; 0 if unknown
   double machineMs = 0;
-  double recordedMs = 0;  // what the records of the process call that moment
+  double recordedMs = 0;  // the same moment as a time in the process's records
 };
 
-// What has to be added to a time recorded under `recorded`, to be a time as the process of `now` records
-// them; nothing where the two have no clock in common.
+// Returns the offset to add to a time recorded by the process of `recorded` to get the time on the clock of
+// the process of `now`. Returns std::nullopt if the two were not in the same boot of the machine.
 std::optional<double> shiftMs(const ClockAnchor& recorded, const ClockAnchor& now);
 
 class JournalClock {
  public:
-  // `clock` outlives it.
+  // `clock` must outlive this object.
   explicit JournalClock(const Clock& clock);
   double nowMs() const { return start_.recordedMs + clock_.machineMs() - start_.machineMs; }
-  // The moment in which the process started.
+  // The anchor taken when this object was created, at the start of the process.
   const ClockAnchor& anchor() const { return start_; }
 
  private:
--- a/src/journal/journal_opening.cpp
+++ b/src/journal/journal_opening.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr const char* kTakeoverName = "journal.takeover";
-constexpr const char* kVersionOneLeftover =
-    "journal.new";  // of a version 1 process that ended in a compaction
+// Left by a version 1 process that ended during compaction.
+constexpr const char* kVersionOneLeftover = "journal.new";
 
 }  // namespace
 
@@ -31,10 +31,10 @@
   LockResult lock = lockFolder(parts_.files, options.folder, options.owner);
   if (!lock) return lock.error();
   parts_.lock = std::move(*lock);
-  RecoveryOptions reading;
-  reading.names = options.names.empty() ? nullptr : &options.names;
-  reading.clock = &parts_.clock.anchor();
-  Result<Recovered, JournalError> recovered = recover(parts_.files, options.folder, reading);
+  RecoveryOptions recoveryOptions;
+  recoveryOptions.names = options.names.empty() ? nullptr : &options.names;
+  recoveryOptions.clock = &parts_.clock.anchor();
+  Result<Recovered, JournalError> recovered = recover(parts_.files, options.folder, recoveryOptions);
   if (!recovered)
     return JournalError{recovered.error().cause, "the journal cannot be read: " + recovered.error().message};
   Recovered& found = *recovered;
@@ -44,7 +44,8 @@
   if (found.versionOne)
     if (Failure failure = convertVersionOne(found)) return *failure;
   removeVersionOne(found);
-  // Requests of which only the name is left stand in no complete record: they must, before damage is removed.
+  // Requests of which only the id was recovered have no complete record. One must be written before the
+  // damaged segments can be deleted.
   if (!parts_.writer.begin() && found.bodiesLost > 0)
     return JournalError{{"write the journal in", options.folder, parts_.writer.beginError()->number}};
   if (parts_.writer.begun()) {
@@ -82,7 +83,7 @@
 
 void JournalOpening::adoptOtherFiles(const Recovered& found) {
   for (const FileInfo& other : found.others) {
-    // Of a takeover that did not come to its end.
+    // Left by an unfinished conversion of a version 1 file.
     if (other.name == kTakeoverName && !parts_.files.remove(parts_.options.path(other.name))) continue;
     parts_.writer.addUsed(roundUpToBlocks(other.bytes));
   }
@@ -91,7 +92,8 @@
 void JournalOpening::adoptSegments(const Recovered& found) {
   for (const SegmentInfo& seen : found.segments) {
     const bool last = seen.sequence == found.segments.back().sequence;
-    // Nothing stands in it: its number is given again. Otherwise each restart would leave a segment.
+    // The last segment is deleted if it has no records, and its sequence number is reused. Otherwise each
+    // restart would leave an empty segment behind.
     const bool empty =
         seen.stale || (seen.headerGood && seen.fileBytes == seen.headBytes && seen.records == 0);
     const std::string path = parts_.options.path(segmentName(seen.sequence));
@@ -104,7 +106,8 @@
 void JournalOpening::adoptRequests(Recovered& found) {
   for (RecoveredRequest& recovered : found.pending) {
     PendingRequest& request = recovered.pending;
-    // How much of its reserve it has used is not known; what its end needs is always reserved.
+    // It is unknown how much of its reserve the request has used. Only the space for its final status and its
+    // completion is reserved.
     request.journalEntry = parts_.records.add(&request, parts_.planner.tuning().completionReserve);
     if (LiveRecords::Segment* segment = parts_.records.find(recovered.segment))
       parts_.records.place(request.journalEntry, *segment, recordBytes(request));
@@ -112,8 +115,8 @@
 }
 
 JournalOpening::Failure JournalOpening::convertVersionOne(Recovered& found) {
-  // The segment gets its name only when it is complete, and names the old file by its fingerprint: a process
-  // that ends before the old file is removed does not read it again.
+  // The segment is renamed to its final name only when it is complete. Its header has the fingerprint of the
+  // old file, so that the file is not converted again if the process ends before it is deleted.
   parts_.writer.setConvertedFingerprint(found.versionOneFingerprint);
   const SegmentHeader header = parts_.writer.nextHeader();
   std::string bytes = parts_.writer.encodeStart(header);
--- a/src/journal/journal_opening.h
+++ b/src/journal/journal_opening.h
@@ -1,11 +1,11 @@
-// Opens a journal's folder: what was read becomes the journal's state, a file of version 1 is taken over,
-// damaged bytes are quarantined, and a segment is begun.
+// Opens a journal's folder: reads it, makes the result the state of the journal, converts a version 1 file,
+// quarantines damaged bytes, and begins a new segment.
 //
 //   auto found = JournalOpening(parts, options).run();
 //   if (!found) ... found.error().message ...
 //
-// Until a request's newest record stands where a later start finds it, nothing that has an older one is
-// removed. One thread, used once; O(bytes of the folder).
+// No file with an older record of a request is deleted before the newest record is where a later start finds
+// it. Not thread-safe; `run` can be called once. Cost: O(bytes in the folder).
 #pragma once
 
 #include <memory>
@@ -27,7 +27,7 @@
 
 class JournalOpening {
  public:
-  // All of them outlive it.
+  // The referenced objects must outlive the JournalOpening.
   struct Parts {
     Files& files;
     const Log& log;
@@ -48,15 +48,15 @@
   using Failure = std::optional<JournalError>;
 
   void logCorruptions(const Recovered& found) const;
-  // Takes what was read as the state of the folder.
+  // Initializes the journal's state from what was read.
   void adopt(Recovered& found);
   void adoptOtherFiles(const Recovered& found);
   void adoptSegments(const Recovered& found);
   void adoptRequests(Recovered& found);
-  // Writes the requests of a version 1 file into a segment of their own.
+  // Writes the requests of a version 1 file to a new segment.
   Failure convertVersionOne(Recovered& found);
   void removeVersionOne(const Recovered& found);
-  // Writes the requests of which only the name is left, which stand in no record yet.
+  // Writes a record for each request of which only the id could be recovered; no record has them yet.
   void writeRequestsWithoutBody(Recovered& found);
   static std::size_t recordBytes(const PendingRequest& request);
 
--- a/src/journal/journal_options.h
+++ b/src/journal/journal_options.h
@@ -1,4 +1,4 @@
-// What the journal is given at its start, and what it has counted since. Plain values.
+// Options and statistics of the journal. Plain values.
 #pragma once
 
 #include <cstddef>
@@ -12,26 +12,26 @@
 
 struct JournalOptions {
   std::string folder;
-  std::size_t diskBytes = 0;     // bound of all files of the folder, in blocks of 512 bytes
-  std::size_t segmentBytes = 0;  // 0: the planner's choice
+  std::size_t diskBytes = 0;     // limit for all files in the folder, counted in blocks of 512 bytes
+  std::size_t segmentBytes = 0;  // 0: the planner chooses the size
   JournalTuning tuning;
-  std::string owner;       // what another process that finds the folder locked says of this one
-  std::uint64_t salt = 0;  // random; a folder that has one already goes on with its own
-  // What the numbers in this process's records mean; each segment begins with it, and what is found in the
-  // folder is translated to it. Empty: numbers stay as they are, as tools need it.
+  std::string owner;  // describes this process in the error message of a process that finds the folder locked
+  std::uint64_t salt = 0;  // random number; not used if the folder already has a salt
+  // The names of the numbers in this process's records. Each segment begins with them, and the numbers of
+  // recovered requests are translated to them. If empty, numbers are not translated, as the tools require.
   NameTable names{};
 
   std::string path(const std::string& name) const { return folder + "/" + name; }
 };
 
-// Counts since the start.
+// Counters since the start of the process.
 struct JournalStatistics {
-  std::uint64_t faults = 0;           // failed operations on files
-  std::uint64_t deletedSegments = 0;  // segments that were rewritten and removed
+  std::uint64_t faults = 0;           // failed file operations
+  std::uint64_t deletedSegments = 0;  // segments deleted after their live records were rewritten
   std::uint64_t compactSteps = 0;
-  std::uint64_t acceptedBytes = 0;   // records of accepted requests
-  std::uint64_t writtenBytes = 0;    // all records, and what segments begin with
-  std::uint64_t rewrittenBytes = 0;  // by compaction
+  std::uint64_t acceptedBytes = 0;   // bytes of the records of accepted requests
+  std::uint64_t writtenBytes = 0;    // bytes of all records and of the segments' starts
+  std::uint64_t rewrittenBytes = 0;  // bytes of records rewritten by compaction
 };
 
 }  // namespace myrtleloft
--- a/src/journal/live_records.h
+++ b/src/journal/live_records.h
@@ -1,4 +1,5 @@
-// The journal's segments, and in which of them the newest complete record of each pending request stands.
+// Tracks the journal's segments, and which of them has the newest complete record of each pending request
+// (its live record).
 //
 //   LiveRecords records;
 //   records.addSegment(1, bytes, bytes);
@@ -6,11 +7,11 @@
 //   records.place(entry, records.newest(), recordBytes);
 //   for (entry = records.oldest().firstEntry; entry != kNone; entry = records[entry].next) ...
 //
-// A segment's entries are a list linked by index, so that compaction finds them without looking at any other.
-// Invariants: the segments are in the order of their sequence numbers, the newest last; an entry is in the
-// list of the segment that it names, or in none (`segment` 0); `live()` is the sum of the segments' `live`,
-// and `largestLive()` is at least the largest of them. One thread; O(1) but for `find` (log segments) and
-// `measureLargestLive` (segments).
+// The entries of a segment form a list linked by index, so that compaction can walk them without visiting
+// others. Invariants: the segments are sorted by sequence number, the newest last; an entry is in the list of
+// its `segment`, or in no list if that is 0; `live()` is the sum of the segments' `live`, and `largestLive()`
+// is an upper bound of the largest of them. Not thread-safe. Cost: O(1), except for `find`, which is
+// logarithmic in the number of segments, and `firstLive` and `measureLargestLive`, which are linear in it.
 #pragma once
 
 #include <cstddef>
@@ -27,11 +28,11 @@
 
   struct Segment {
     std::uint64_t sequence = 0;
-    std::size_t bytes = 0;          // up to the end of the last complete record
-    std::size_t fileBytes = 0;      // more, where half a record could not be cut off
-    std::size_t live = 0;           // bytes of the newest complete records that stand in it
-    std::uint64_t beganAt = 0;      // the position of the log at which it began
-    std::uint64_t rewrittenAt = 0;  // from this position of the log on, nothing of it is needed any more
+    std::size_t bytes = 0;          // length up to the end of the last complete record
+    std::size_t fileBytes = 0;      // length on disk; larger if a partial record could not be truncated
+    std::size_t live = 0;           // bytes of the live records in it
+    std::uint64_t beganAt = 0;      // position of the log at which the segment began
+    std::uint64_t rewrittenAt = 0;  // the segment is needed until the log is durable up to this position
     std::uint32_t firstEntry = kNone;
     std::uint32_t lastEntry = kNone;
 
@@ -40,9 +41,9 @@
 
   struct Entry {
     PendingRequest* request = nullptr;
-    std::uint64_t segment = 0;  // 0: stands in none
-    std::uint32_t live = 0;     // bytes of the request's newest complete record
-    std::uint32_t reserve = 0;  // bytes that the request may still append
+    std::uint64_t segment = 0;  // sequence number; 0 if no segment has a record of it
+    std::uint32_t live = 0;     // bytes of the live record
+    std::uint32_t reserve = 0;  // bytes reserved for further records of the request
     std::uint32_t previous = kNone;
     std::uint32_t next = kNone;
   };
@@ -53,23 +54,23 @@
   const Segment& oldest() const { return segments_.front(); }
   Segment& newest() { return segments_.back(); }
   const Segment& newest() const { return segments_.back(); }
-  // Null: there is none of that number.
+  // Returns nullptr if there is no segment of this sequence number.
   Segment* find(std::uint64_t sequence);
-  // The oldest segment with live records among those from one number to another, both included; null: there
-  // is none.
+  // Returns the oldest segment with live records among the sequence numbers `from` to `to`, both included, or
+  // nullptr if there is none.
   Segment* firstLive(std::uint64_t from, std::uint64_t to);
   std::deque<Segment>& segments() { return segments_; }
   Segment& addSegment(std::uint64_t sequence, std::size_t bytes, std::size_t fileBytes);
-  // It has no entries any more.
+  // The oldest segment must not have any live records.
   void dropOldest() { segments_.pop_front(); }
 
   const Entry& operator[](std::uint32_t entry) const { return entries_[entry]; }
-  // A new entry that stands in no segment yet; its number stays valid until `remove`.
+  // Adds an entry that belongs to no segment yet, and returns its index, which is valid until `remove`.
   std::uint32_t add(PendingRequest* request, std::size_t reserve);
   void attach(std::uint32_t entry, PendingRequest* request) { entries_[entry].request = request; }
-  // The request's newest complete record of `bytes` stands in that segment now, and no longer elsewhere.
+  // Sets the segment and the size of the request's live record. A previous live record is live no longer.
   void place(std::uint32_t entry, Segment& segment, std::size_t bytes);
-  // The size of the request's complete record has changed, as it would be written now.
+  // Sets the size that the request's complete record would have if it was written now.
   void setLive(std::uint32_t entry, std::size_t bytes);
   void setReserve(std::uint32_t entry, std::size_t bytes);
   void remove(std::uint32_t entry);
@@ -77,7 +78,7 @@
   std::size_t live() const { return live_; }
   std::size_t reserved() const { return reserved_; }
   std::size_t largestLive() const { return largestLive_; }
-  // Makes `largestLive` exact.
+  // Recomputes `largestLive` exactly.
   void measureLargestLive();
 
  private:
@@ -85,7 +86,7 @@
 
   std::deque<Segment> segments_;
   std::deque<Entry> entries_;
-  std::uint32_t freeEntry_ = kNone;  // removed entries, linked by `next`
+  std::uint32_t freeEntry_ = kNone;  // head of the list of removed entries, linked by `next`
   std::size_t live_ = 0;
   std::size_t reserved_ = 0;
   std::size_t largestLive_ = 0;
--- a/src/journal/name_table.cpp
+++ b/src/journal/name_table.cpp
@@ -24,7 +24,7 @@
 }
 
 NameTranslation::NameTranslation(const NameTable& recorded, const NameTable& now)
-    : hadTenants_(!recorded.tenants.empty()) {
+    : hasRecordedTenants_(!recorded.tenants.empty()) {
   std::vector<std::string> classes;
   for (const ClassEntry& cls : now.classes) classes.push_back(cls.name);
   for (const ClassEntry& cls : recorded.classes) {
@@ -45,8 +45,8 @@
   const auto at = static_cast<std::size_t>(request.classIndex);
   const RetryPermission permission = at < permissions_.size() ? permissions_[at] : RetryPermission();
   request.classIndex = mapped(classes_, request.classIndex, kUnconfigured);
-  // Without tenants every request has number 0, which names nobody.
-  if (hadTenants_) request.tenant = mapped(tenants_, request.tenant, kUnconfigured);
+  // Without tenants in the settings, every request has the tenant number 0, which refers to no tenant.
+  if (hasRecordedTenants_) request.tenant = mapped(tenants_, request.tenant, kUnconfigured);
   for (RecordedAttempt& attempt : request.ambiguousAttempts) attempt.zone = zone(attempt.zone);
   return permission;
 }
--- a/src/journal/pending_table.h
+++ b/src/journal/pending_table.h
@@ -1,16 +1,15 @@
-// The pending requests that a reading of the journal found, by id.
+// The pending requests that recovery found in the journal, by id.
 //
 //   PendingTable pending;
-//   RecoveredRequest& request = pending.put(std::move(recorded));   // in place of the one of that id, if any
+//   RecoveredRequest& request = pending.put(std::move(recorded));   // replaces the request of the same id
 //   if (RecoveredRequest* known = pending.find("9b1f")) ...
 //   for (RecoveredRequest& each : pending) ...
-//   pending.take([&](RecoveredRequest each) { ... });               // empties it, giving back memory as it
-//   goes
+//   pending.take([&](RecoveredRequest each) { ... });   // empties the table and frees memory along the way
 //
-// A start with many pending requests waits for memory more than for anything else: so they stand side by
-// side, each id once, and the index has nothing but numbers and hashes. `erase` puts the last one in the gap:
-// a request stays where it is from the last `erase` on, and the table may be moved meanwhile. Amortized O(1)
-// each; one thread.
+// Memory access dominates the time of a start with many pending requests. Therefore requests are stored
+// contiguously in chunks, each id is stored once, and the index consists of positions and hashes only.
+// `erase` moves the last request into the gap, so the address of a request is stable only after the last
+// `erase`; moving the table does not change it. Amortized O(1) for each operation; not thread-safe.
 #pragma once
 
 #include <tsl/robin_set.h>
@@ -28,40 +27,42 @@
 
 namespace myrtleloft {
 
+// A pending request with what recovery learned about it.
 struct RecoveredRequest {
   PendingRequest pending;
-  std::uint64_t segment = 0;  // where its newest complete record stands; 0: in none, only the version 1 file
-  std::uint64_t corruptionsSeen = 0;  // no attempt before that many damaged parts is missing
-  // By what the class meant when its records were written; none: what it means now.
+  std::uint64_t segment = 0;          // the one with its newest complete record; 0 if no segment has one
+  std::uint64_t corruptionsSeen = 0;  // number of damaged parts known to hide none of its attempts
+  // What its class permitted when its records were written; if empty, the current settings apply.
   std::optional<RetryPermission> permission;
-  // Its times are as this process would have recorded them; false: they are those of a wall clock that may
-  // have been set since.
+  // True if its times are on the clock of this process. False if they are wall clock times of an earlier
+  // process, and the wall clock may have been changed since.
   bool timesKnown = false;
 };
 
 class PendingTable {
   static constexpr std::size_t kChunk = 256;
-  // Chunks, so that none moves while the table grows and `take` can give them back one by one.
+  // Chunks keep requests from moving while the table grows, and let `take` free memory chunk by chunk.
   using Chunks = std::vector<std::vector<RecoveredRequest>>;
 
  public:
+  // A forward iterator, as far as a range-based for loop needs one.
   template <typename Table, typename Request>
-  class Walk {
+  class TableIterator {
    public:
-    Walk(Table& table, std::size_t at) : table_(&table), at_(at) {}
+    TableIterator(Table& table, std::size_t at) : table_(&table), at_(at) {}
     Request& operator*() const { return (*table_->chunks_)[at_ / kChunk][at_ % kChunk]; }
-    Walk& operator++() {
+    TableIterator& operator++() {
       ++at_;
       return *this;
     }
-    bool operator!=(const Walk& other) const { return at_ != other.at_; }
+    bool operator!=(const TableIterator& other) const { return at_ != other.at_; }
 
    private:
     Table* table_;
     std::size_t at_;
   };
-  using Iterator = Walk<PendingTable, RecoveredRequest>;
-  using ConstIterator = Walk<const PendingTable, const RecoveredRequest>;
+  using Iterator = TableIterator<PendingTable, RecoveredRequest>;
+  using ConstIterator = TableIterator<const PendingTable, const RecoveredRequest>;
 
   Iterator begin() { return {*this, 0}; }
   Iterator end() { return {*this, size_}; }
@@ -70,7 +71,7 @@
   std::size_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
 
-  // Null: there is none of that id.
+  // Returns nullptr if there is no request of this id.
   RecoveredRequest* find(std::string_view id) {
     const auto at = index_.find(id);
     return at == index_.end() ? nullptr : &(*chunks_)[*at / kChunk][*at % kChunk];
@@ -79,7 +80,7 @@
     return const_cast<PendingTable*>(this)->find(id);
   }
 
-  // Of a known id only the request is replaced; segment, permission and the like stay.
+  // Adds the request. If the id is known, replaces only `pending`, and keeps the other members.
   RecoveredRequest& put(PendingRequest pending) {
     if (RecoveredRequest* known = find(pending.id)) {
       known->pending = std::move(pending);
@@ -92,7 +93,7 @@
     return added;
   }
 
-  // Nothing where there is none of that id.
+  // Does nothing if there is no request of this id.
   void erase(std::string_view id) {
     const auto at = index_.find(id);
     if (at == index_.end()) return;
@@ -110,7 +111,7 @@
     --size_;
   }
 
-  // Empties the table; `visit` gets each request, by value.
+  // Empties the table, passing each request by value to `visit`.
   template <typename Visitor>
   void take(const Visitor& visit) {
     index_.clear();
@@ -122,32 +123,33 @@
   }
 
  private:
-  // Numbers count as the ids that stand there, so that either may be looked up.
-  struct Ids {
-    // NOLINTNEXTLINE(readability-identifier-naming): the name that containers look for
+  // Maps a position in the table to the id stored there, so that the index can be searched by position and by
+  // id.
+  struct IdAccess {
+    // NOLINTNEXTLINE(readability-identifier-naming): the standard name for heterogeneous lookup
     using is_transparent = void;
     const Chunks* chunks = nullptr;
     std::string_view of(std::uint32_t at) const { return (*chunks)[at / kChunk][at % kChunk].pending.id; }
     std::string_view of(std::string_view id) const { return id; }
   };
-  struct Hash : Ids {
+  struct Hash : IdAccess {
     template <typename Key>
     std::size_t operator()(const Key& key) const {
-      return std::hash<std::string_view>()(Ids::of(key));
+      return std::hash<std::string_view>()(IdAccess::of(key));
     }
   };
-  struct Same : Ids {
+  struct Equal : IdAccess {
     template <typename Left, typename Right>
     bool operator()(const Left& left, const Right& right) const {
-      return Ids::of(left) == Ids::of(right);
+      return IdAccess::of(left) == IdAccess::of(right);
     }
   };
-  // With the hashes stored: growing looks at no request.
-  using Index = tsl::robin_set<std::uint32_t, Hash, Same, std::allocator<std::uint32_t>, true>;
+  // The set stores the hashes, so that a rehash does not access the requests.
+  using Index = tsl::robin_set<std::uint32_t, Hash, Equal, std::allocator<std::uint32_t>, true>;
 
-  std::unique_ptr<Chunks> chunks_ = std::make_unique<Chunks>();  // the index points at it: it stays put
+  std::unique_ptr<Chunks> chunks_ = std::make_unique<Chunks>();  // on the heap because the index points to it
   std::size_t size_ = 0;
-  Index index_{0, Hash{{chunks_.get()}}, Same{{chunks_.get()}}};
+  Index index_{0, Hash{{chunks_.get()}}, Equal{{chunks_.get()}}};
 };
 
 }  // namespace myrtleloft
--- a/src/journal/planner.h
+++ b/src/journal/planner.h
@@ -1,20 +1,20 @@
-// Decides when the journal compacts, how much of it at once, and what it still accepts. Without I/O, time or
-// state of its own: each answer follows from the figures that it is given.
+// Decides when the journal compacts, how much it rewrites in one step, and which requests it can still
+// accept. Pure functions of the disk usage and the tuning: no I/O, no clock and no other state.
 //
 //   const JournalPlanner planner(tuning);
 //   if (!planner.admits(usage, recordBytes)) ...        // reject the request
-//   const std::size_t bytes = planner.stepBytes(usage); // to rewrite in this step; 0: nothing to do
+//   const std::size_t bytes = planner.stepBytes(usage); // to rewrite in this step; 0 if none
 //
-// Compaction goes from the oldest segment on, and never out of order (as in the log-structured file system of
-// Rosenblum and Ousterhout, 1992, with its cleaner reduced to a queue): a completion then never outlives the
-// acceptance that it takes back, and no tombstones need to be rewritten. Requests are pending for seconds, so
-// the oldest segment is nearly always nearly empty.
+// Segments are compacted strictly from the oldest to the newest (as in the log-structured file system of
+// Rosenblum and Ousterhout, 1992, with its cleaner reduced to a queue). The record of an accepted request is
+// therefore always deleted before that of its completion, and no tombstones have to be rewritten. Requests
+// are pending for seconds only, so the oldest segment rarely has many live records.
 //
-// What it promises: with `admits` asked before each request is accepted and `permits` before each record
-// beyond a request's reserve, all that is pending can be completed without any compaction, and one segment
-// can always be rewritten. `tests/journal/planner_test.cpp` plays that against random loads.
+// Guarantee: if `admits` is checked before each request is accepted, and `permits` before each record that
+// exceeds its request's reserve, then all pending requests can be completed without any compaction, and one
+// segment can always be rewritten. `tests/journal/planner_test.cpp` checks this with random loads.
 //
-// Safe for several threads; all methods O(1).
+// Thread-safe; all functions are O(1).
 #pragma once
 
 #include <cstddef>
@@ -23,66 +23,72 @@
 
 namespace myrtleloft {
 
-constexpr std::size_t kDiskBlock = 512;  // what the platform counts files in
+constexpr std::size_t kDiskBlock = 512;  // the unit in which the platform counts the size of files
 
+// Returns the disk space that a file of this size counts for.
 constexpr std::size_t roundUpToBlocks(std::size_t bytes) {
   return (bytes + kDiskBlock - 1) / kDiskBlock * kDiskBlock;
 }
 
-// Sizes are in bytes.
+// Parameters of the planner. Sizes are in bytes.
 struct JournalTuning {
-  // Of the disk, what pending requests may come to with their reserves. More leaves less for what is
-  // completed but not yet compacted, and so makes rounds more frequent; docs/bench/journal.md has what is
-  // written at 0.5.
+  // Largest share of the disk budget for pending requests with their reserves. A larger share leaves less
+  // space for completed records that are not compacted yet, so compaction has to run more often;
+  // docs/bench/journal.md has the bytes written at 0.5.
   double pendingShare = 0.55;
-  // What the further records of a request may come to, reserved for it from the start: four attempts with
-  // their withdrawals, a final status and a completion. Smaller accepts more, and stops attempts earlier when
-  // full.
+  // Space reserved for the further records of each accepted request: four attempts, each known not executed,
+  // a final status and a completion. A smaller reserve admits more requests, but stops attempts earlier when
+  // the disk budget is used up.
   std::size_t perRequestReserve = 512;
-  // Of it, what only the final status and the completion may use: a request that has used up its attempts'
-  // part can always still be completed.
+  // The part of the reserve for the final status and the completion. Attempts cannot use it, so a request can
+  // always be completed.
   std::size_t completionReserve = 160;
-  // Compaction runs while less than this share of the disk is free. More compacts earlier, and so copies more
-  // requests that would have been completed by themselves.
+  // Compaction runs while less than this share of the disk budget is free. A larger share starts it earlier,
+  // and then it copies more requests that would soon have been completed anyway.
   double freeShare = 0.25;
-  // A round must win back at least this part of what is live, and two segments: it copies all that is live.
-  // Without it, a journal set to leave much free wrote twelve bytes for each one accepted.
+  // A compaction pass copies all live records, so it must free at least this share of their size, and at
+  // least two segments. Without this bound, a journal with a large `freeShare` wrote twelve bytes per
+  // accepted byte.
   double minGainShare = 0.125;
-  // Bounds of a step of compaction.
+  // Bounds for the bytes rewritten in one compaction step.
   std::size_t maxStepBytes = std::size_t{256} * 1024;
   std::size_t minStepBytes = std::size_t{16} * 1024;
-  // And so long at most, in ms: on a machine that gives the process a part of a core, bytes alone bound
-  // nothing.
+  // Longest duration of a compaction step, in ms. Needed where the process has only a fraction of a core:
+  // there a limit in bytes does not bound the time.
   double maxStepMs = 0.5;
-  // How much faster than just in time a round must go, since the load may grow while it lasts.
+  // Safety factor on the pace at which a compaction pass would finish just in time, since the load may grow
+  // while the pass runs.
   double paceFactor = 2;
-  // After a failure of the disk, new requests are rejected and compaction pauses for so long, in ms: each try
-  // costs calls into a file system that is failing. What is pending goes on trying. Longer comes back later.
+  // After a disk failure, new requests are rejected and compaction pauses for this time, in ms, because each
+  // retry is a call into a failing file system. Records of pending requests are still attempted. A longer
+  // pause delays the return to service.
   double faultPauseMs = 250;
-  // Damaged bytes are quarantined in this part of the disk at most, and in so many files; the oldest go.
+  // Quarantined bytes take at most 1/quarantinePerDisk of the disk budget and at most this number of files.
+  // The oldest files are deleted first.
   std::size_t quarantinePerDisk = 32;
   std::size_t maxQuarantinedFiles = 16;
-  // More segments than this are rewritten whatever is free: each restart adds one.
+  // With more segments than this, compaction runs however much space is free, since each restart adds a
+  // segment.
   std::size_t maxSegments = 96;
-  // A segment is this part of the disk, between the least and the most. Smaller ones free space in smaller
-  // steps, but each costs up to a block and a header.
+  // The segment size is 1/segmentsPerDisk of the disk budget, within the bounds below. Smaller segments free
+  // space in smaller steps, but each one costs a header and up to one unused block.
   std::size_t segmentsPerDisk = 16;
   std::size_t minSegmentBytes = 4096;
   std::size_t maxSegmentBytes = std::size_t{8} * 1024 * 1024;
 };
 
-// How the folder's limit is used, in bytes.
+// How the disk budget of the folder is used. Sizes are in bytes.
 struct DiskUsage {
-  std::size_t disk = 0;                         // the limit
-  std::size_t used = 0;                         // all files, in blocks
-  std::size_t live = 0;                         // the newest complete record of each pending request
-  std::size_t reserved = 0;                     // what pending requests may still append
-  std::size_t largestLive = 0;                  // at least the largest sum of live records of any one segment
-  std::size_t segmentBytes = 0;                 // size at which a segment is sealed
-  std::size_t segments = 0;                     // their number, with the one that is written
-  std::size_t headBytes = kSegmentHeaderBytes;  // what each segment begins with
-  std::size_t oldestLive = 0;                   // live bytes of the oldest segment
-  std::size_t appendedSinceStep = 0;            // appended since the last step
+  std::size_t disk = 0;                         // the disk budget
+  std::size_t used = 0;                         // by all files, in whole blocks
+  std::size_t live = 0;                         // sum of the newest complete records of all pending requests
+  std::size_t reserved = 0;                     // for further records of pending requests
+  std::size_t largestLive = 0;                  // upper bound of the live bytes in any one segment
+  std::size_t segmentBytes = 0;                 // size from which on a new segment is begun
+  std::size_t segments = 0;                     // number of segments, including the active one
+  std::size_t headBytes = kSegmentHeaderBytes;  // size of the header, names and clock of a segment
+  std::size_t oldestLive = 0;                   // live bytes in the oldest segment
+  std::size_t appendedSinceStep = 0;            // bytes appended since the last compaction step
 };
 
 class JournalPlanner {
@@ -90,26 +96,27 @@
   explicit JournalPlanner(const JournalTuning& tuning = {}) : tuning_(tuning) {}
 
   const JournalTuning& tuning() const { return tuning_; }
-  // The size of a segment, where the operator names none.
+  // Returns the segment size to use if the options do not set one.
   std::size_t segmentBytes(std::size_t disk) const;
-  // What all quarantined bytes may take.
+  // Returns the limit for all quarantined files together.
   std::size_t quarantineBytes(std::size_t disk) const { return disk / tuning_.quarantinePerDisk; }
 
-  // Whether a request whose record takes `bytes` may be accepted.
+  // Returns whether a request with a record of `bytes` can be accepted.
   bool admits(const DiskUsage& usage, std::size_t bytes) const;
-  // Whether a record for which nothing is reserved may be written. `grows`: by how much the request's
-  // complete record grows with it.
-  bool permits(const DiskUsage& usage, std::size_t bytes, std::size_t grows) const;
-  // Whether `bytes` fit at all: the limit itself, for records that have their reserve and for compaction.
+  // Returns whether a record without reserved space can be written. `growth` is the number of bytes by which
+  // the request's complete record grows.
+  bool permits(const DiskUsage& usage, std::size_t bytes, std::size_t growth) const;
+  // Returns whether `bytes` fit into the disk budget at all. This limit applies to records with reserved
+  // space and to compaction.
   bool fits(const DiskUsage& usage, std::size_t bytes) const;
-  // How many bytes to rewrite now; 0: nothing to do.
+  // Returns how many bytes to rewrite in the next compaction step; 0 if no compaction is needed.
   std::size_t stepBytes(const DiskUsage& usage) const;
-  // What is free beyond all promises; 0 where it is less.
+  // Returns the space that is neither used nor needed for reserves and for rewriting a segment; at least 0.
   std::size_t free(const DiskUsage& usage) const;
 
  private:
-  // What so many bytes may take on the disk when they spread over segments.
-  static std::size_t spread(std::size_t bytes, const DiskUsage& usage);
+  // Returns the largest disk space that `bytes` of records can take when they are distributed over segments.
+  static std::size_t worstCaseDiskBytes(std::size_t bytes, const DiskUsage& usage);
 
   JournalTuning tuning_;
 };
--- a/src/journal/quarantine.cpp
+++ b/src/journal/quarantine.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 Quarantine::Quarantine(const Parts& parts)
-    : parts_(parts), mostBytes_(parts.planner.quarantineBytes(parts.options.diskBytes)) {}
+    : parts_(parts), maxBytes_(parts.planner.quarantineBytes(parts.options.diskBytes)) {}
 
 void Quarantine::read(const Recovered& found) {
   for (const Corruption& corruption : found.corruptions) {
@@ -27,7 +27,7 @@
     const auto bytes = parts_.files.read(parts_.options.path(corruption.file));
     if (!bytes || corruption.offset >= bytes->size()) continue;
     corrupt_.push_back({quarantineName(corruption),
-                        bytes->substr(corruption.offset, std::min(corruption.bytes, mostBytes_ / 2))});
+                        bytes->substr(corruption.offset, std::min(corruption.bytes, maxBytes_ / 2))});
   }
 }
 
@@ -38,8 +38,8 @@
     storedBytes_ += roundUpToBlocks(other.bytes);
   }
   for (const CorruptBytes& corrupt : corrupt_) {
-    const auto isThere = [&](const FileInfo& file) { return file.name == corrupt.name; };
-    if (std::any_of(stored_.begin(), stored_.end(), isThere)) continue;
+    const auto isStored = [&](const FileInfo& file) { return file.name == corrupt.name; };
+    if (std::any_of(stored_.begin(), stored_.end(), isStored)) continue;
     if (!makeSpace(corrupt.bytes.size()) || !write(corrupt)) return;
     parts_.log.write(LogLevel::kWarning, "journal.quarantined",
                      "journal: quarantined the damaged bytes in " + corrupt.name, {{"file", corrupt.name}});
@@ -47,16 +47,16 @@
 }
 
 bool Quarantine::makeSpace(std::size_t bytes) {
-  const std::size_t mostFiles = parts_.planner.tuning().maxQuarantinedFiles;
+  const std::size_t maxFiles = parts_.planner.tuning().maxQuarantinedFiles;
   while (!stored_.empty() &&
-         (storedBytes_ + roundUpToBlocks(bytes) > mostBytes_ || stored_.size() >= mostFiles)) {
+         (storedBytes_ + roundUpToBlocks(bytes) > maxBytes_ || stored_.size() >= maxFiles)) {
     const FileInfo& oldest = stored_.front();
     if (parts_.files.remove(parts_.options.path(oldest.name))) return false;
     storedBytes_ -= roundUpToBlocks(oldest.bytes);
     parts_.writer.removeUsed(roundUpToBlocks(oldest.bytes));
     stored_.erase(stored_.begin());
   }
-  return storedBytes_ + roundUpToBlocks(bytes) <= mostBytes_ &&
+  return storedBytes_ + roundUpToBlocks(bytes) <= maxBytes_ &&
          parts_.planner.permits(parts_.writer.usage(), bytes, 0);
 }
 
--- a/src/journal/quarantine.h
+++ b/src/journal/quarantine.h
@@ -1,11 +1,12 @@
-// Sets damaged bytes of the journal aside, in files `damaged-...` of its folder, for people to look at.
+// Saves damaged bytes of the journal to files `damaged-...` in its folder, for later inspection.
 //
 //   Quarantine quarantine(files, options, planner, writer, faults, log);
-//   quarantine.read(found);       // before anything is removed from the folder
-//   quarantine.store(found);      // once the journal can be written
+//   quarantine.read(found);       // before anything is deleted from the folder
+//   quarantine.store(found);      // as soon as the journal is writable
 //
-// All of them together take the planner's part of the disk and number of files at most; the oldest go. Of one
-// damaged part half that is stored at most. One thread, used once; O(bytes of the damaged files).
+// The planner limits the total size and the number of these files; the oldest are deleted first. At most half
+// of the total size is stored for one damaged part. Not thread-safe; each function can be called once. Cost:
+// O(bytes of the damaged files).
 #pragma once
 
 #include <cstddef>
@@ -24,7 +25,7 @@
 
 class Quarantine {
  public:
-  // All of them outlive it.
+  // The referenced objects must outlive the Quarantine.
   struct Parts {
     Files& files;
     const JournalOptions& options;
@@ -36,9 +37,9 @@
 
   explicit Quarantine(const Parts& parts);
 
-  // Reads the damaged bytes that `found` names, as far as they may be stored.
+  // Reads the damaged bytes listed in `found`, as far as the limits allow storing them.
   void read(const Recovered& found);
-  // Stores them, but for those that an earlier start has stored.
+  // Writes the bytes that `read` returned to files, except those that an earlier start has already stored.
   void store(const Recovered& found);
 
  private:
@@ -47,15 +48,16 @@
     std::string bytes;
   };
 
-  // Removes the oldest files until `bytes` more fit. false: they do not.
+  // Deletes the oldest files until `bytes` more fit. Returns false if they do not fit.
   bool makeSpace(std::size_t bytes);
+  // Returns false if the file could not be created or written.
   bool write(const CorruptBytes& corrupt);
 
   Parts parts_;
-  std::size_t mostBytes_;  // of all files, in blocks
+  std::size_t maxBytes_;  // limit for all quarantined files, in whole blocks
   std::vector<CorruptBytes> corrupt_;
   std::vector<FileInfo> stored_;
-  std::size_t storedBytes_ = 0;  // in blocks
+  std::size_t storedBytes_ = 0;  // in whole blocks
 };
 
 }  // namespace myrtleloft
--- a/src/journal/records.cpp
+++ b/src/journal/records.cpp
@@ -8,7 +8,7 @@
 
 namespace myrtleloft {
 
-// The records' fields, for cereal, in the order of their bytes.
+// cereal serialization functions. They define the order of the fields on disk.
 template <typename Archive>
 void serialize(Archive& archive, RecordedAttempt& attempt) {
   archive(attempt.endpoint, attempt.zone, attempt.sentWallMs, attempt.attempt);
@@ -62,7 +62,7 @@
 
 namespace {
 
-// The first byte of a record.
+// The first byte of an encoded record.
 enum class Type : char {
   kAccepted = 'T',
   kAttempt = 'A',
@@ -89,7 +89,7 @@
          entry.deduplicationScope <= DeduplicationScope::kCell;
 }
 
-// Whether the record's enumerators are ones that this program knows.
+// Returns whether all enumerators in the record have known values.
 template <typename RecordType>
 bool isValid(const RecordType&) {
   return true;
@@ -101,7 +101,7 @@
                      [](const ClassEntry& entry) { return isKnown(entry); });
 }
 
-// In place: a request is moved around often enough.
+// Decodes directly into `record`, which avoids moving a large request.
 template <typename RecordType>
 bool get(BufferInputArchive& archive, std::optional<Record>& record) {
   auto& read = std::get<RecordType>(record.emplace(std::in_place_type<RecordType>));
@@ -176,7 +176,8 @@
 }
 
 std::size_t encodedSize(const PendingRequest& request) {
-  // The type, four lengths, the fixed fields; a test compares this with `encode`.
+  // The record type, four length fields, and the fields of a fixed size. A test compares the result with
+  // `encode`.
   constexpr std::size_t kFixed =
       1 + 4 * sizeof(std::uint32_t) + sizeof request.classIndex + sizeof request.tenant +
       sizeof request.destination + sizeof request.deadlineWallMs + sizeof request.acceptedWallMs + 1 +
--- a/src/journal/records.h
+++ b/src/journal/records.h
@@ -1,11 +1,11 @@
-// What a journal's record says, and its bytes. The bytes are cereal's: fixed-size numbers in this machine's
-// order, texts behind their length.
+// The journal's records and their encoding. Records are serialized with cereal: numbers have a fixed size and
+// the byte order of this machine, strings are preceded by their length.
 //
 //   std::string bytes;
 //   encode(AttemptRecord{"9b1f", attempt}, bytes);                    // appends
-//   if (const std::optional<Record> record = decode(bytes)) ...       // nothing: not a record of ours
+//   if (const std::optional<Record> record = decode(bytes)) ...       // empty if invalid
 //
-// Safe for several threads; both cost O(size).
+// Thread-safe; encoding and decoding cost O(size).
 #pragma once
 
 #include <cstdint>
@@ -22,21 +22,21 @@
 
 enum class FinalStatus : std::uint8_t { kUndecided, kFailed, kReturned };
 
-// A call with the request that is not known not executed: it may have had an effect.
+// An attempt that is not known not executed, and so may have had an effect.
 struct RecordedAttempt {
-  // Numbers of an attempt, and of its zone, that may have stood in a damaged part of the journal: which one,
-  // where and when is not known.
+  // Stand-ins for the numbers of an attempt and its zone if the attempt's record may have been in a damaged
+  // part of the journal, so that neither its number nor its zone nor its time is known.
   static constexpr int kLostAttempt = -1;
   static constexpr int kLostZone = -2;
 
   std::string endpoint;
   int zone = 0;
   double sentWallMs = 0;
-  int attempt = 0;  // its number among the request's attempts, from 0
+  int attempt = 0;  // index among the request's attempts, from 0
 };
 
-// All of a request that must outlast the process. Its times are by the journal's clock
-// (journal/journal_clock.h): the wall's, but for its being set.
+// The state of a request that must survive the process. Its times are on the journal's clock
+// (journal/journal_clock.h), which is the wall clock without its later changes.
 struct PendingRequest {
   static constexpr std::uint32_t kNoEntry = 0xffffffff;
 
@@ -47,48 +47,50 @@
   int tenant = 0;
   std::int64_t destination = 0;
   double deadlineWallMs = 0;
-  double acceptedWallMs = 0;  // 0: not known; no attempt was made before it
+  double acceptedWallMs = 0;  // no attempt was made before this time; 0 if unknown
   bool isRetry = false;
-  int attempts = 0;  // made so far
+  int attempts = 0;  // number made so far
   std::vector<RecordedAttempt> ambiguousAttempts;
-  FinalStatus status =
-      FinalStatus::kUndecided;  // decided, but the platform has not confirmed the notification
+  // Other than kUndecided once the request has ended and until the platform has confirmed the notification.
+  FinalStatus status = FinalStatus::kUndecided;
   double retryAfterMs = 0;
-  // These are in no record.
-  std::uint32_t journalEntry = kNoEntry;  // the journal's own
-  // The disk has an attempt as ambiguous that is known not executed: that could not be recorded.
+  // The following members are not recorded.
+  std::uint32_t journalEntry = kNoEntry;  // index used by the journal
+  // An attempt is known not executed, but that could not be recorded, so it is still ambiguous on the disk.
   bool recordedAsAmbiguous = false;
 };
 
-// The request as it stands: when it is accepted, and again each time that compaction rewrites it.
+// The complete state of a request. Written when it is accepted and each time that compaction rewrites it.
 struct AcceptedRecord {
   PendingRequest pending;
 };
-// Before a call's first byte.
+// An attempt. Written before the first byte of its call is sent.
 struct AttemptRecord {
   std::string id;
   RecordedAttempt attempt;
 };
-// That attempt is known not executed.
+// The attempt of this number is known not executed.
 struct NotExecutedRecord {
   std::string id;
   int attempt = 0;
 };
-// Given up; its notification is still to be confirmed.
+// The request ended with this status; the platform has yet to confirm the notification.
 struct FinalStatusRecord {
   std::string id;
   FinalStatus status = FinalStatus::kUndecided;
   double retryAfterMs = 0;
 };
-// Nothing is left to do.
+// Nothing is left to do for the request.
 struct CompletedRecord {
   std::string id;
 };
-// All segments before this one have been rewritten, and may be gone.
+// The live records of all segments before `firstSegment` have been rewritten, so these segments may be
+// deleted.
 struct SegmentsDeletedRecord {
   std::uint64_t firstSegment = 0;
 };
 
+// A class as the settings define it.
 struct ClassEntry {
   std::string name;
   Idempotency idempotency = Idempotency::kNonIdempotent;
@@ -96,28 +98,29 @@
   double idempotencyWindowMs = 0;
   bool operator==(const ClassEntry&) const = default;
 };
-// What the settings of the process that wrote a segment called the numbers in it, and what its classes
-// permitted. journal/name_table.h translates.
+// The names behind the numbers in a segment, and what its classes permitted, from the settings of the process
+// that wrote it. Translated by journal/name_table.h.
 struct NameTable {
   std::vector<ClassEntry> classes;
   std::vector<std::string> tenants;
   std::vector<std::string> zones;
 
-  bool empty() const { return classes.empty(); }  // the numbers are not named
+  bool empty() const { return classes.empty(); }  // if empty, the numbers have no names
   bool operator==(const NameTable&) const = default;
 };
-// The first of a segment, twice, like its header: without it, the requests of the segment could not be sent.
+// The first record of a segment. Written twice, like the header, because without it the requests of the
+// segment could not be sent.
 struct NameTableRecord {
   NameTable names;
 };
-// The clock of the times in the segment's records. Behind the names, twice as they are.
+// The anchor of the clock used for the times in the segment. Written after each copy of the names.
 struct ClockRecord {
   ClockAnchor anchor;
 };
 using Record = std::variant<AcceptedRecord, AttemptRecord, NotExecutedRecord, FinalStatusRecord,
                             CompletedRecord, SegmentsDeletedRecord, NameTableRecord, ClockRecord>;
 
-// Each appends the record's bytes. Of a request, those of an AcceptedRecord.
+// Each function appends the encoded record to `out`. A request is encoded as an AcceptedRecord.
 void encode(const PendingRequest& request, std::string& out);
 void encode(const AttemptRecord& record, std::string& out);
 void encode(const NotExecutedRecord& record, std::string& out);
@@ -126,12 +129,12 @@
 void encode(const SegmentsDeletedRecord& record, std::string& out);
 void encode(const NameTableRecord& record, std::string& out);
 void encode(const ClockRecord& record, std::string& out);
-// Nothing: not a record of ours, or not exactly one.
+// Returns std::nullopt unless the payload is exactly one valid record.
 std::optional<Record> decode(std::string_view payload);
-// Whether the bytes, if they are a record of ours, are a SegmentsDeletedRecord. O(1).
+// Returns whether the payload of a valid record is a SegmentsDeletedRecord. O(1).
 bool isSegmentsDeletedRecord(std::string_view payload);
 
-// How many bytes `encode` appends for it.
+// The number of bytes that `encode` appends for the argument, or for it as part of a record.
 std::size_t encodedSize(const PendingRequest& request);
 std::size_t encodedSize(const RecordedAttempt& attempt);
 std::size_t encodedSize(const NameTable& names);
--- a/src/journal/recovery.h
+++ b/src/journal/recovery.h
@@ -1,20 +1,22 @@
-// Reads what a folder has: the segments and, where it is there, the one file of version 1. It writes nothing;
-// the journal at its start and the tools that look into a folder at rest use the same reading.
+// Recovers the state of a journal from its folder: from the segments and, if present, the single file of
+// format version 1. Writes nothing. Used by the journal at its start and by the tools that inspect a folder.
 //
 //   const auto found = recover(files, folder);
-//   if (!found) ... found.error().message    // and nothing was touched
+//   if (!found) ... found.error().message
 //   found->pending      the pending requests, as far as they could be read
 //   found->corruptions  each damaged part, with file and offset
 //
-// A damaged part may have contained any record. So for each request whose history spans it:
-// - an attempt may be lost: the request comes back with an ambiguous attempt of which neither zone nor time
-// is
-//   known, the time taken as when the request was accepted; unless a later record shows that no attempt is
-//   missing (the next one's number follows, or the complete request was written again);
-// - its completion may be lost: it comes back as pending, with the same ambiguous attempt;
-// - its acceptance may be lost while later records name it: its body is gone, so it comes back as failed.
+// A damaged part may have contained any record. Therefore, for each request that may have had a record in it:
 //
-// One thread for each call.
+// - An attempt may be lost. The request is recovered with an additional ambiguous attempt whose zone is
+//   unknown and whose time is that at which the request was accepted. The attempt is not added if a later
+//   record shows that none is missing: the next attempt has the next number, or the complete request was
+//   written again.
+// - Its completion may be lost. The request is recovered as pending, with the same ambiguous attempt.
+// - Its accepted record may be lost while later records refer to it. Without its body the request cannot be
+//   sent, so it is recovered as failed.
+//
+// Thread-safe for different folders; O(bytes in the folder).
 #pragma once
 
 #include <cstdint>
@@ -33,6 +35,7 @@
 
 constexpr const char* kVersionOneName = "journal";
 
+// A damaged or missing part of a file. A missing segment has offset and size 0.
 struct Corruption {
   std::string file;
   std::size_t offset = 0;
@@ -40,52 +43,56 @@
   std::string what;  // "damaged", "missing", "cut off"
 };
 
+// What recovery found out about a segment.
 struct SegmentInfo {
   std::uint64_t sequence = 0;
-  std::size_t fileBytes = 0;  // on the disk
-  // How much of it is the journal's, damaged parts included; only a torn end is not. The next segment's
-  // header states it: left out there, damage would be forgotten by the start after the next.
+  std::size_t fileBytes = 0;  // size of the file
+  // Length of the valid content. Includes damaged parts, and excludes only a torn record at the end. The
+  // header of the next segment records this length. Damaged parts must be included so that later starts still
+  // detect them.
   std::size_t validBytes = 0;
-  std::size_t headBytes = kSegmentHeaderBytes;  // the header, and the names and the clock behind it
-  std::size_t records = 0;                      // without names and clock
+  std::size_t headBytes = kSegmentHeaderBytes;  // size of the header, the names and the clock
+  std::size_t records = 0;                      // number, without those of names and clock
   double createdWallMs = 0;
   bool headerGood = true;
-  bool named = false;  // states what its numbers mean, or did so where now is damage
-  bool stale = false;  // before the first that is still needed, or torn in its header: may be removed
+  bool named = false;  // has a name table, or must have had one before it was damaged
+  bool stale = false;  // can be deleted: older than the first needed segment, or has a torn header
 };
 
+// The result of recovery.
 struct Recovered {
   PendingTable pending;
-  std::vector<SegmentInfo> segments;  // by sequence
+  std::vector<SegmentInfo> segments;  // sorted by sequence number
   std::vector<Corruption> corruptions;
-  std::uint64_t firstSegment = 1;          // the oldest still needed
-  std::uint64_t salt = 0;                  // 0: no segment states one
-  std::uint64_t convertedFingerprint = 0;  // the newest fingerprint that any segment names
-  bool versionOne = false;                 // a version 1 file is there and not yet taken over
+  std::uint64_t firstSegment = 1;          // the oldest segment that is still needed
+  std::uint64_t salt = 0;                  // 0 if no segment header has one
+  std::uint64_t convertedFingerprint = 0;  // of a converted version 1 file; from the newest header with one
+  bool versionOne = false;                 // there is a version 1 file that has not been converted yet
   std::uint64_t versionOneFingerprint = 0;
-  std::size_t torn = 0;           // bytes of a record cut off by the end of the process
-  std::size_t madeAmbiguous = 0;  // requests that got an ambiguous attempt because of damage
-  std::size_t bodiesLost = 0;     // requests of which only the name is left
+  std::size_t torn = 0;           // bytes of records that were incomplete when the process ended
+  std::size_t madeAmbiguous = 0;  // number of requests with an ambiguous attempt added because of damage
+  std::size_t bodiesLost = 0;     // number of requests of which only the id could be recovered
   std::size_t records = 0;
-  std::vector<FileInfo> others;       // files that are no segments
-  std::vector<NameTable> nameTables;  // each that any segment states, once
+  std::vector<FileInfo> others;       // files that are not segments
+  std::vector<NameTable> nameTables;  // each distinct table found in the segments
 };
 
-// Called for each record, in the order in which they were written.
+// Called for each record, in the order of writing.
 using RecordVisitor =
     std::function<void(std::uint64_t segment, std::size_t offset, std::size_t bytes, const Record& record)>;
 
 struct RecoveryOptions {
-  // What the numbers of what is found shall mean; null: what they meant in the segment, as the tools show
-  // them.
+  // The names to which the recovered numbers are translated. If null, numbers are returned as recorded, as
+  // the tools show them.
   const NameTable* names = nullptr;
-  // By which clock its times shall be, where they can; null: as they were recorded.
+  // The clock to which recovered times are converted where possible. If null, times are returned as recorded.
   const ClockAnchor* clock = nullptr;
   RecordVisitor visit = nullptr;
 };
 
-// O(bytes of the folder); has one segment in memory at a time beside what is pending. An error: a file could
-// not be read, or has a format that this program does not know.
+// Recovers the state of the journal in `folder`. Fails if a file cannot be read or has an unknown format
+// version. Cost: O(bytes in the folder); holds one segment in memory at a time, in addition to the pending
+// requests.
 Result<Recovered, JournalError> recover(Files& files, const std::string& folder,
                                         const RecoveryOptions& options = {});
 
--- a/src/journal/replay.cpp
+++ b/src/journal/replay.cpp
@@ -11,17 +11,17 @@
 void addLostAttempt(PendingRequest& request) {
   std::vector<RecordedAttempt>& attempts = request.ambiguousAttempts;
   if (std::any_of(attempts.begin(), attempts.end(), isLost)) return;
-  // In front: it may be the earliest, and the window of an idempotency key runs from the first.
+  // Inserted at the front: it may be the earliest attempt, at which the idempotency window begins.
   attempts.insert(attempts.begin(),
                   {"", RecordedAttempt::kLostZone, request.acceptedWallMs, RecordedAttempt::kLostAttempt});
-  // Its number is used up: were it given again, the next reading would take it for proof that none is
-  // missing.
+  // Skips the number of the lost attempt. If the next attempt got this number, a later recovery would take it
+  // as proof that no attempt is missing.
   ++request.attempts;
 }
 
 void shiftTimes(PendingRequest& request, double byMs) {
   request.deadlineWallMs += byMs;
-  if (request.acceptedWallMs != 0) request.acceptedWallMs += byMs;  // 0: not known
+  if (request.acceptedWallMs != 0) request.acceptedWallMs += byMs;  // 0 means unknown
   for (RecordedAttempt& attempt : request.ambiguousAttempts) attempt.sentWallMs += byMs;
 }
 
@@ -46,17 +46,18 @@
 
 void Replay::apply(std::uint64_t segment, Record& record) {
   segment_ = segment;
-  std::visit([this](auto& applied) { on(applied); }, record);
+  std::visit([this](auto& applied) { applyRecord(applied); }, record);
 }
 
 RecoveredRequest* Replay::find(const std::string& id) {
   if (RecoveredRequest* request = pending_.find(id)) return request;
-  // Rewritten behind this record, completed behind it, or its acceptance is lost: only the end shows which.
+  // The request was rewritten or completed later in the log, or its accepted record is lost. Only the end of
+  // the replay tells which.
   withoutBody_.try_emplace(id, FinalStatus::kUndecided);
   return nullptr;
 }
 
-void Replay::on(AcceptedRecord& record) {
+void Replay::applyRecord(AcceptedRecord& record) {
   if (!withoutBody_.empty()) withoutBody_.erase(record.pending.id);
   std::optional<RetryPermission> permission;
   if (translation_) permission = translation_->apply(record.pending);
@@ -68,13 +69,13 @@
   request.corruptionsSeen = corruptionCount_;
 }
 
-void Replay::on(AttemptRecord& record) {
+void Replay::applyRecord(AttemptRecord& record) {
   RecoveredRequest* request = find(record.id);
   if (!request) return;
   PendingRequest& pending = request->pending;
   const int number = record.attempt.attempt;
-  // With damage since its last record, a number left out is an attempt that stood there; a number that
-  // follows proves that there was none.
+  // If there is damage since the request's last record, a skipped number means that an attempt was lost
+  // there, and the next number in sequence proves that none was.
   if (request->corruptionsSeen != corruptionCount_ && number > pending.attempts) addLostAttempt(pending);
   request->corruptionsSeen = corruptionCount_;
   pending.attempts = std::max(pending.attempts, number + 1);
@@ -90,7 +91,7 @@
   pending.ambiguousAttempts.push_back(std::move(record.attempt));
 }
 
-void Replay::on(NotExecutedRecord& record) {
+void Replay::applyRecord(NotExecutedRecord& record) {
   RecoveredRequest* request = find(record.id);
   if (!request) return;
   std::erase_if(request->pending.ambiguousAttempts, [&](const RecordedAttempt& attempt) {
@@ -98,7 +99,7 @@
   });
 }
 
-void Replay::on(FinalStatusRecord& record) {
+void Replay::applyRecord(FinalStatusRecord& record) {
   RecoveredRequest* request = find(record.id);
   if (!request) {
     withoutBody_[record.id] = record.status;
@@ -109,17 +110,17 @@
   request->pending.body.clear();
 }
 
-void Replay::on(CompletedRecord& record) {
+void Replay::applyRecord(CompletedRecord& record) {
   pending_.erase(record.id);
   withoutBody_.erase(record.id);
 }
 
-// Read beforehand, by whoever has to know which segments count.
-void Replay::on(SegmentsDeletedRecord&) {}
+// Already evaluated by FolderReader, which needs it to decide which segments to read.
+void Replay::applyRecord(SegmentsDeletedRecord&) {}
 
-void Replay::on(NameTableRecord& record) { translateFrom(record.names); }
+void Replay::applyRecord(NameTableRecord& record) { translateFrom(record.names); }
 
-void Replay::on(ClockRecord& record) {
+void Replay::applyRecord(ClockRecord& record) {
   if (clock_) shiftMs_ = shiftMs(record.anchor, *clock_);
 }
 
--- a/src/journal/replay.h
+++ b/src/journal/replay.h
@@ -1,11 +1,12 @@
-// What follows from records, applied one after the other: which requests are pending, and what damage between
-// the records makes ambiguous.
+// Replays records one after the other, and determines which requests are pending and which of them are
+// ambiguous because of damage between the records.
 //
 //   Replay replay(names, clock);
-//   replay.apply(segment, record); ... replay.hole(); ...
+//   replay.apply(segment, record); ... replay.noteCorruption(); ...
 //   replay.finish(found);
 //
-// Both arguments may be null and outlive the replay. One thread; amortized O(size of the record).
+// Both arguments may be null; otherwise they must outlive the replay. Not thread-safe; amortized O(size of
+// the record).
 #pragma once
 
 #include <cstdint>
@@ -26,38 +27,40 @@
   explicit Replay(const NameTable* names = nullptr, const ClockAnchor* clock = nullptr)
       : names_(names), clock_(clock) {}
 
-  // A segment begins that states no names: its numbers mean what they mean now. Its clock is not known yet.
+  // Begins a segment without a name table: its numbers are those of the current settings. Its clock is
+  // unknown until a clock record is applied.
   void beginUnnamedSegment();
-  // A segment begins that states its names: until it does, nobody knows what its numbers mean.
+  // Begins a segment with a name table: until that is applied, the meaning of its numbers is unknown.
   void beginNamedSegment();
-  // Takes what it needs out of `record`.
+  // Applies the record, and may move its contents.
   void apply(std::uint64_t segment, Record& record);
-  // Any record may be missing between those applied so far and those to come.
+  // Notes a damaged part: any record may be missing between those applied so far and those that follow.
   void noteCorruption();
-  // Ends the replay: gives an ambiguous attempt to each request that may have lost one, and brings back those
-  // of which only the name is left.
+  // Ends the replay: adds an ambiguous attempt to each request that may have lost one, adds requests of which
+  // only the id is known as pending, and moves the result to `found`.
   void finish(Recovered& found);
 
  private:
-  void on(AcceptedRecord& record);
-  void on(AttemptRecord& record);
-  void on(NotExecutedRecord& record);
-  void on(FinalStatusRecord& record);
-  void on(CompletedRecord& record);
-  void on(SegmentsDeletedRecord& record);
-  void on(NameTableRecord& record);
-  void on(ClockRecord& record);
-  // The request of that id; where there is none, remembers that a record named it.
+  void applyRecord(AcceptedRecord& record);
+  void applyRecord(AttemptRecord& record);
+  void applyRecord(NotExecutedRecord& record);
+  void applyRecord(FinalStatusRecord& record);
+  void applyRecord(CompletedRecord& record);
+  void applyRecord(SegmentsDeletedRecord& record);
+  void applyRecord(NameTableRecord& record);
+  void applyRecord(ClockRecord& record);
+  // Returns the request of this id. If there is none, returns nullptr and remembers that a record refers to
+  // it.
   RecoveredRequest* find(const std::string& id);
   void translateFrom(const NameTable& recorded);
 
   const NameTable* names_;
   const ClockAnchor* clock_;
-  std::optional<NameTranslation> translation_;  // none: numbers stay
-  std::optional<double> shiftMs_;               // from the segment's times to those of now; none: not known
+  std::optional<NameTranslation> translation_;  // if empty, numbers are not translated
+  std::optional<double> shiftMs_;  // offset from the segment's clock to the current one; empty if unknown
   PendingTable pending_;
-  std::map<std::string, FinalStatus, std::less<>> withoutBody_;  // named by records, but never accepted
-  std::uint64_t corruptionCount_ = 0;
+  std::map<std::string, FinalStatus, std::less<>> withoutBody_;  // ids in records without an accepted record
+  std::uint64_t corruptionCount_ = 0;                            // damaged parts so far
   std::uint64_t segment_ = 0;
 };
 
--- a/src/journal/result.h
+++ b/src/journal/result.h
@@ -1,10 +1,10 @@
-// Either a value, or the error that says why there is none.
+// Holds either the value of an operation or the error with which it failed.
 //
 //   Result<std::string, FileError> read = ...;
 //   if (!read) return read.error();
 //   use(*read);
 //
-// Safe for several threads as far as Value and Error are; O(1) beyond moving them.
+// As thread-safe as Value and Error. Cost: O(1) in addition to moving them.
 #pragma once
 
 #include <utility>
@@ -19,12 +19,12 @@
   Result(Error error) : content_(std::in_place_index<1>, std::move(error)) {}
 
   explicit operator bool() const { return content_.index() == 0; }
-  // Only where there is a value.
+  // Requires a value.
   Value& operator*() { return *std::get_if<0>(&content_); }
   const Value& operator*() const { return *std::get_if<0>(&content_); }
   Value* operator->() { return std::get_if<0>(&content_); }
   const Value* operator->() const { return std::get_if<0>(&content_); }
-  // Only where there is none.
+  // Requires an error.
   Error& error() { return *std::get_if<1>(&content_); }
   const Error& error() const { return *std::get_if<1>(&content_); }
 
--- a/src/journal/segment.cpp
+++ b/src/journal/segment.cpp
@@ -37,7 +37,7 @@
   return static_cast<std::uint32_t>(hash(bytes.substr(0, kPreambleBytes - sizeof(std::uint32_t)), 0));
 }
 
-// A record is good only in its own segment.
+// Includes the sequence number, so that a record is valid only in its own segment.
 std::uint64_t seedOf(std::uint64_t salt, std::uint64_t sequence) {
   return salt ^ (sequence * 0x9e3779b97f4a7c15);
 }
@@ -78,7 +78,7 @@
   HeaderState state;
   if (bytes.size() < kSegmentHeaderBytes) {
     state.kind = HeaderState::Kind::kTorn;
-    // A newer version may have a shorter header; its preamble is complete.
+    // A newer version may have a shorter header, but always has the complete preamble.
     if (bytes.size() < kPreambleBytes) return state;
   }
   for (const std::size_t at : {std::size_t{0}, kCopyBytes}) {
@@ -124,7 +124,8 @@
   std::uint64_t sequence = 0;
   const char* digits = name.data() + kPrefix.size();
   const auto [end, error] = std::from_chars(digits, digits + kDigits, sequence, 16);
-  // Only our own spelling: an upper-case digit is another file.
+  // Accepts only the name that `segmentName` returns; for example, upper-case digits make it a different
+  // file.
   if (error != std::errc() || end != digits + kDigits || segmentName(sequence) != name) return std::nullopt;
   return sequence;
 }
@@ -178,7 +179,7 @@
   piece.offset = at_;
   const bool endKnown = end_ != kUnknownEnd;
   if (at_ >= bytes_.size()) {
-    // Cut off behind a complete record: only the segment behind it can show that.
+    // The segment ends after a complete record, but the next segment's header records a larger length.
     if (endKnown && std::max(at_, bytes_.size()) < end_) {
       piece.kind = Piece::Kind::kCorruptBytes;
       at_ = end_;
@@ -204,7 +205,7 @@
   piece.kind = torn ? Piece::Kind::kTorn : Piece::Kind::kCorruptBytes;
   piece.bytes = found - at_;
   at_ = found;
-  // A hole at the end is reported once, also where bytes are missing behind it.
+  // Damage at the end is reported once, together with any bytes missing after it.
   if (found == bytes_.size() && endKnown) at_ = std::max(at_, end_);
   return piece;
 }
--- a/src/journal/segment_writer.cpp
+++ b/src/journal/segment_writer.cpp
@@ -7,7 +7,7 @@
 namespace myrtleloft {
 namespace {
 
-constexpr int kStartCopies = 2;  // of the names and the clock, as of the header
+constexpr int kStartCopies = 2;  // copies of the names and the clock, like the copies of the header
 
 }  // namespace
 
@@ -52,7 +52,8 @@
 bool SegmentWriter::begin() {
   if (begun_) return true;
   beginError_ = beginSegment();
-  // A folder that was allowed more before: once nothing in it is pending, what is left is only in the way.
+  // The disk budget may have been larger before. If no request is pending, old segments can be deleted to
+  // make space.
   const bool nothingPending = parts_.records.live() == 0 && parts_.records.reserved() == 0;
   while (beginError_ && beginError_->number == ENOSPC && nothingPending && !parts_.records.empty() &&
          !dropOldest())
@@ -67,12 +68,12 @@
   const std::string start = encodeStart(header);
   if (!parts_.planner.fits(usage(), roundUpToBlocks(start.size()))) return FileError{"begin", name, ENOSPC};
   auto file = parts_.files.create(path);
-  // Left by an earlier try; nothing stands in it.
+  // An earlier attempt to begin the segment left a file without records.
   if (!file && file.error().number == EEXIST && !parts_.files.remove(path)) file = parts_.files.create(path);
   const auto error = file ? (*file)->append(start).error : file.error();
   if (error) {
     FileError failure{"begin", name, error->number};
-    // Before the first one, whoever started the journal says that it waits, once.
+    // Failures to begin the first segment are logged once by the code that opened the journal.
     if (begun_) parts_.faults.report(failure);
     if (file) parts_.files.remove(path);
     return failure;
@@ -81,7 +82,7 @@
   parts_.statistics.writtenBytes += start.size();
   begun_ = true;
   broken_ = false;
-  parts_.commit.wrote(start.size(), active_);
+  parts_.commit.recordWrite(start.size(), active_);
   return std::nullopt;
 }
 
@@ -89,7 +90,7 @@
                                              std::shared_ptr<OutFile> file) {
   used_ += roundUpToBlocks(bytes);
   active_ = std::move(file);
-  parts_.commit.namedFile();
+  parts_.commit.recordCreatedFile();
   LiveRecords::Segment& segment = parts_.records.addSegment(sequence, bytes, bytes);
   segment.beganAt = parts_.commit.position();
   return segment;
@@ -100,7 +101,7 @@
   const LiveRecords::Segment& newest = parts_.records.newest();
   const bool full = newest.bytes + bytes > parts_.options.segmentBytes && newest.bytes > startBytes_;
   if (active_ && !broken_ && !full) return true;
-  // A disk that has no space for another segment may have some in this one.
+  // If there is no space for a new segment, the current one may still have some.
   return !beginSegment() || (active_ && !broken_);
 }
 
@@ -111,21 +112,21 @@
 
 bool SegmentWriter::appendFrames(std::string_view frames) {
   LiveRecords::Segment& segment = parts_.records.newest();
-  const std::size_t grows = roundUpToBlocks(segment.bytes + frames.size()) - roundUpToBlocks(segment.bytes);
-  if (!parts_.planner.fits(usage(), grows)) return false;
+  const std::size_t growth = roundUpToBlocks(segment.bytes + frames.size()) - roundUpToBlocks(segment.bytes);
+  if (!parts_.planner.fits(usage(), growth)) return false;
   const auto [put, error] = active_->append(frames);
   if (!error && put == frames.size()) {
     segment.bytes += put;
     segment.fileBytes = segment.bytes;
-    used_ += grows;
-    sinceStep_ += put;
+    used_ += growth;
+    appendedSinceStep_ += put;
     parts_.statistics.writtenBytes += put;
-    parts_.commit.wrote(put, active_);
+    parts_.commit.recordWrite(put, active_);
     return true;
   }
   parts_.faults.report({"write", segmentName(segment.sequence), error ? error->number : 0});
-  // Half a record in the middle would look like damage: cut it off, or write no more to this segment. The
-  // header of the next one then states where this one ends.
+  // A partial record followed by others would look like damage. So it is truncated; if that fails, nothing
+  // more is written to this segment, and the header of the next one records where its valid content ends.
   if (put > 0 && active_->truncate(segment.bytes)) {
     broken_ = true;
     segment.fileBytes = segment.bytes + put;
@@ -136,8 +137,8 @@
 
 bool SegmentWriter::deleteOldest() {
   const std::uint64_t next = parts_.records.oldest().sequence + 1;
-  // Recorded first, so that a segment missing for any other reason is known to be missing. Where even that
-  // finds no space on the disk, removing is what makes some: then it is recorded afterwards.
+  // The deletion is recorded first, so that a segment that is missing for any other reason is detected. If
+  // there is no space for the record, it is written after the deletion, which frees some.
   const auto recordDeletion = [&] {
     if (history_.firstSegment < next && append(SegmentsDeletedRecord{next})) history_.firstSegment = next;
   };
@@ -155,7 +156,7 @@
   const std::string name = segmentName(oldest.sequence);
   const auto error = parts_.files.remove(parts_.options.path(name));
   if (error && error->number != ENOENT) return FileError{"remove", name, error->number};
-  if (!begun_) history_.firstSegment = oldest.sequence + 1;  // the next header states it
+  if (!begun_) history_.firstSegment = oldest.sequence + 1;  // recorded by the next header
   used_ -= roundUpToBlocks(oldest.fileBytes);
   parts_.records.dropOldest();
   ++parts_.statistics.deletedSegments;
@@ -174,7 +175,7 @@
   usage.segments = records.size();
   usage.headBytes = startBytes_;
   if (!records.empty()) usage.oldestLive = records.oldest().live;
-  usage.appendedSinceStep = sinceStep_;
+  usage.appendedSinceStep = appendedSinceStep_;
   return usage;
 }
 
--- a/src/journal/segment_writer.h
+++ b/src/journal/segment_writer.h
@@ -1,13 +1,13 @@
-// Appends records to the newest segment, begins segments, and removes the oldest one.
+// Appends records to the newest segment, begins new segments, and deletes the oldest one.
 //
-//   if (!writer.begin()) ... writer.beginError().message() ...
-//   if (!writer.append(CompletedRecord{id})) ...    // not recorded; the log still ends with a complete
-//   record
+//   if (!writer.begin()) ... writer.beginError()->message() ...
+//   if (!writer.append(CompletedRecord{id})) ...   // not recorded
 //
-// Invariants: the newest segment of `LiveRecords` is the one that is written, once `begun()`; `used()` counts
-// the folder's files in blocks, and never goes beyond the disk's limit by an append. A segment that ends in
-// half a record that could not be cut off is written no more. One thread; nothing waits for the disk to
-// finish. An append costs O(bytes) and one write(2).
+// After a failed append the log still ends with a complete record. Invariants: once `begun()`, the newest
+// segment of `LiveRecords` is the active one; `used()` is the size of the folder's files in whole blocks, and
+// no append makes it exceed the disk budget. A segment that ends in a partial record that could not be
+// truncated is not written to again. Not thread-safe; nothing waits for the disk. An append costs O(bytes)
+// and one write(2).
 #pragma once
 
 #include <cstddef>
@@ -32,7 +32,7 @@
 
 class SegmentWriter {
  public:
-  // All of them outlive the writer.
+  // The referenced objects must outlive the writer.
   struct Parts {
     Files& files;
     const Clock& clock;
@@ -44,29 +44,30 @@
     LiveRecords& records;
     JournalStatistics& statistics;
   };
-  // What the headers of the segments to come state of the folder's past.
+  // What the headers of new segments record about the history of the folder.
   struct History {
     std::uint64_t salt = 0;
-    std::uint64_t convertedFingerprint = 0;  // fingerprint of a version 1 file that is still there; 0: none
-    std::uint64_t firstSegment = 1;          // the oldest that is needed, as recorded on the disk
+    std::uint64_t convertedFingerprint = 0;  // of a converted version 1 file not deleted yet; 0 if none
+    std::uint64_t firstSegment = 1;          // the oldest needed segment, as recorded on the disk
   };
 
   explicit SegmentWriter(const Parts& parts);
 
-  // Bytes that each segment begins with: header, names and clock.
+  // Returns the size of the start of each segment: header, names and clock.
   static std::size_t startBytes(const NameTable& names);
 
-  // To be called before anything is written.
+  // Continues the history of the folder. To be called before anything is written.
   void resume(const History& history) { history_ = history; }
   void setConvertedFingerprint(std::uint64_t fingerprint) { history_.convertedFingerprint = fingerprint; }
 
-  // Whether there is a segment to write to; begins the first one where there is none yet.
+  // Returns whether there is a segment to write to. Begins the first one if none was begun yet.
   bool begin();
   bool begun() const { return begun_; }
-  // Why there is none.
+  // The reason why `begin` returned false.
   const std::optional<FileError>& beginError() const { return beginError_; }
 
-  // Appends a record, in another segment where the newest is full or broken.
+  // Appends a record; begins a new segment first if the newest one is full or broken. Returns false if the
+  // record could not be written.
   template <typename RecordType>
   bool append(const RecordType& record) {
     frame_.clear();
@@ -74,34 +75,39 @@
     encode(record, frame_);
     return ready(frame_.size()) && appendFrame(frame_);
   }
-  // Sees that `bytes` more may go to the newest segment, beginning another where it is full or broken.
+  // Prepares the newest segment for `bytes` more; begins a new segment if it is full or broken. Returns false
+  // if there is no segment to write to.
   bool ready(std::size_t bytes);
-  // Completes a frame that begins `frame`, for the newest segment, and appends it. `ready` said yes to it.
+  // Completes the frame opened at the start of `frame` for the newest segment, and appends it. `ready` must
+  // have returned true for its size.
   bool appendFrame(std::string& frame);
-  // Appends frames that were completed for the newest segment: all or none.
+  // Appends frames that were closed for the newest segment: either all of them or none.
   bool appendFrames(std::string_view frames);
-  // Nothing more is written to the newest segment.
+  // Ends the newest segment: the next record goes to a new one.
   void abandonSegment() { broken_ = true; }
 
-  // Removes the oldest segment, nothing of which is live; the log records before that it may be missing.
+  // Deletes the oldest segment, which must not have live records, and records that it may be missing. Returns
+  // false if the file could not be deleted.
   bool deleteOldest();
 
-  // The header of the next segment, and what a segment of that header begins with.
+  // Returns the header of the next segment.
   SegmentHeader nextHeader() const;
+  // Returns the start of a segment with this header: header, names and clock.
   std::string encodeStart(const SegmentHeader& header) const;
-  // A complete segment that another has written; `file` stays open for its sync.
+  // Makes a complete segment written by the caller the newest one. `file` is kept open for the next sync.
   LiveRecords::Segment& install(std::uint64_t sequence, std::size_t bytes, std::shared_ptr<OutFile> file);
 
   std::uint64_t salt() const { return history_.salt; }
   std::size_t used() const { return used_; }
-  // Of other files in the folder, in blocks.
+  // Account for other files in the folder, in whole blocks.
   void addUsed(std::size_t bytes) { used_ += bytes; }
   void removeUsed(std::size_t bytes) { used_ -= bytes; }
   DiskUsage usage() const;
-  // Begins the count of bytes since the last step of compaction anew.
-  void restartStepCount() { sinceStep_ = 0; }
+  // Resets the number of bytes appended since the last compaction step.
+  void restartStepCount() { appendedSinceStep_ = 0; }
 
  private:
+  // Both return std::nullopt on success.
   std::optional<FileError> beginSegment();
   std::optional<FileError> dropOldest();
 
@@ -109,11 +115,11 @@
   std::size_t startBytes_;
   History history_;
   std::shared_ptr<OutFile> active_;
-  bool begun_ = false;   // there was a segment to write to
-  bool broken_ = false;  // the newest one takes no more
+  bool begun_ = false;   // a segment has been begun by this process
+  bool broken_ = false;  // nothing more may be written to the newest segment
   std::optional<FileError> beginError_;
   std::size_t used_ = 0;
-  std::size_t sinceStep_ = 0;
+  std::size_t appendedSinceStep_ = 0;
   std::string frame_;
 };
 
--- a/src/journal/syncer.cpp
+++ b/src/journal/syncer.cpp
@@ -26,7 +26,8 @@
  public:
   Impl(Files& files, std::string folder)
       : files_(files), folder_(std::move(folder)), event_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-    // A signal must come to the loop, which waits for it; here it would end the process.
+    // All signals are blocked in this thread: the event loop handles them, and here they would end the
+    // process.
     sigset_t all;
     sigset_t before;
     sigfillset(&all);
@@ -34,14 +35,14 @@
     try {
       thread_ = std::thread([this] { work(); });
     } catch (const std::system_error&) {
-      event_.reset();  // without it, there is no thread to submit to
+      event_.reset();  // an invalid descriptor tells that there is no thread
     }
     ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
   }
   ~Impl() {
     {
       const std::lock_guard<std::mutex> lock(mutex_);
-      ends_ = true;
+      stopping_ = true;
     }
     wake_.notify_one();
     if (thread_.joinable()) thread_.join();
@@ -56,7 +57,7 @@
   }
   std::optional<SyncResult> collect() {
     std::uint64_t count = 0;
-    if (::read(event_.get(), &count, sizeof count) < 0) count = 0;  // nothing is readable: nothing is done
+    if (::read(event_.get(), &count, sizeof count) < 0) count = 0;  // not readable: no job has finished
     const std::lock_guard<std::mutex> lock(mutex_);
     return std::exchange(done_, std::nullopt);
   }
@@ -65,13 +66,13 @@
  private:
   void signal() {
     const std::uint64_t one = 1;
-    if (::write(event_.get(), &one, sizeof one) < 0) return;  // full: it is readable already
+    if (::write(event_.get(), &one, sizeof one) < 0) return;  // counter is full: already readable
   }
   void work() {
     std::unique_lock<std::mutex> lock(mutex_);
     for (;;) {
-      wake_.wait(lock, [this] { return ends_ || job_; });
-      if (!job_) return;  // a job that was handed over is done before the end
+      wake_.wait(lock, [this] { return stopping_ || job_; });
+      if (!job_) return;  // a submitted job is finished before the thread ends
       SyncResult done;
       {
         const SyncJob job = *std::exchange(job_, std::nullopt);
@@ -87,12 +88,12 @@
   Files& files_;
   std::string folder_;
   Fd event_;
-  std::mutex mutex_;  // for the three below; never locked while the disk is waited for
+  std::mutex mutex_;  // guards the next three members; never held during a sync
   std::optional<SyncJob> job_;
   std::optional<SyncResult> done_;
-  bool ends_ = false;
+  bool stopping_ = false;
   std::condition_variable wake_;
-  std::thread thread_;  // the last: it uses the others
+  std::thread thread_;  // last, because it uses the other members
 };
 
 ThreadSyncer::ThreadSyncer(Files& files, std::string folder)
--- a/src/journal/syncer.h
+++ b/src/journal/syncer.h
@@ -1,11 +1,11 @@
-// Waits for the disk on behalf of a loop that must not: the level `group`.
+// Runs fdatasync for an event loop that must not block; used at the durability level `group`.
 //
 //   ThreadSyncer syncer(files, folder);
 //   loop.watch(syncer.fd(), POLLIN, [&](short) { journal.collect(); ... });
-//   syncer.submit({{file}, false, position});      // returns at once
+//   syncer.submit({{file}, false, position});   // returns immediately
 //
-// One job at a time: the next is submitted when the one before has been collected. One thread submits and
-// collects; neither call waits. Each syncer but a test's has one helper thread.
+// There is one job at a time: the next may be submitted after the previous one has been collected. `submit`
+// and `collect` are called by one thread and never wait. ThreadSyncer has one thread of its own.
 #pragma once
 
 #include <cstdint>
@@ -18,34 +18,38 @@
 
 namespace myrtleloft {
 
+// Files to sync.
 struct SyncJob {
-  std::vector<std::shared_ptr<OutFile>> files;  // in the order in which they were written
-  bool folder = false;                          // new names too
-  std::uint64_t position = 0;                   // what is on the disk once it is done
+  std::vector<std::shared_ptr<OutFile>> files;  // in the order of writing
+  bool folder = false;                          // also sync the folder, after files were created or renamed
+  std::uint64_t position = 0;                   // position of the log that is durable after the job
 };
 
+// The result of a job.
 struct SyncResult {
   std::uint64_t position = 0;
-  // Some of it may not be on the disk, and never will be by another sync.
+  // If set, some of the data may not be on the disk, and another sync of the same files cannot change that.
   std::optional<FileError> error;
 };
 
 class Syncer {
  public:
   virtual ~Syncer() = default;
-  // Begins a job; none is running or uncollected.
+  // Starts a job. The previous one must have been collected.
   virtual void submit(SyncJob job) = 0;
-  // The job that has ended since the last call; nothing where none has.
+  // Returns the result of the job that has finished since the last call, or std::nullopt if none has.
   virtual std::optional<SyncResult> collect() = 0;
 };
 
+// Runs the jobs on its own thread.
 class ThreadSyncer : public Syncer {
  public:
   ThreadSyncer(Files& files, std::string folder);
-  ~ThreadSyncer() override;  // waits for the job in hand
+  ~ThreadSyncer() override;  // waits for a running job
   void submit(SyncJob job) override;
   std::optional<SyncResult> collect() override;
-  // Readable while something is to be collected; -1: no descriptor could be had.
+  // A descriptor that is readable while a result can be collected; -1 if it or the thread could not be
+  // created.
   int fd() const;
 
  private:
@@ -53,7 +57,7 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// One job, in the thread that calls: for tests, and what ThreadSyncer's thread does.
+// Runs a job on the calling thread. Used by ThreadSyncer and by tests.
 SyncResult syncNow(Files& files, const std::string& folder, const SyncJob& job);
 
 }  // namespace myrtleloft
--- a/src/journal/version_one.cpp
+++ b/src/journal/version_one.cpp
@@ -16,30 +16,30 @@
 
 constexpr std::size_t kVersionOneFrameBytes = 8;
 
-// Reads fields one after the other. Once one is cut off or not valid, `good` is false and all others are
-// empty.
+// Reads fields in sequence. After a truncated or invalid field, `good` returns false, and further fields must
+// not be used.
 class FieldReader {
  public:
-  explicit FieldReader(std::string_view bytes) : rest_(bytes) {}
+  explicit FieldReader(std::string_view bytes) : remaining_(bytes) {}
 
   template <typename Number>
   Number number() {
     Number value{};
-    if (rest_.size() < sizeof value) {
+    if (remaining_.size() < sizeof value) {
       good_ = false;
       return value;
     }
-    std::memcpy(&value, rest_.data(), sizeof value);
-    rest_.remove_prefix(sizeof value);
+    std::memcpy(&value, remaining_.data(), sizeof value);
+    remaining_.remove_prefix(sizeof value);
     return value;
   }
   bool flag() { return number<unsigned char>() != 0; }
   std::string text() {
     const std::size_t size = number<std::uint32_t>();
-    good_ = good_ && size <= rest_.size();
+    good_ = good_ && size <= remaining_.size();
     if (!good_) return {};
-    std::string value(rest_.substr(0, size));
-    rest_.remove_prefix(size);
+    std::string value(remaining_.substr(0, size));
+    remaining_.remove_prefix(size);
     return value;
   }
   FinalStatus finalStatus() {
@@ -50,7 +50,7 @@
   bool good() const { return good_; }
 
  private:
-  std::string_view rest_;
+  std::string_view remaining_;
   bool good_ = true;
 };
 
@@ -77,14 +77,16 @@
   std::vector<RecordedAttempt>& attempts = request.ambiguousAttempts;
   for (auto left = fields.number<std::uint32_t>(); left > 0 && fields.good(); --left)
     attempts.push_back(readAttempt(fields));
-  // Its records did not number attempts: these are taken for the newest ones, as good a number as any other.
+  // Version 1 did not record attempt numbers. The ambiguous attempts get the highest numbers; the choice does
+  // not matter.
   for (std::size_t i = 0; i < attempts.size(); ++i)
     attempts[i].attempt = request.attempts - static_cast<int>(attempts.size() - i);
   request.body = fields.text();
   return request;
 }
 
-// Its attempts and their withdrawals state no number: the newest is meant, so the count is made here.
+// Number of attempts by request id. Version 1 records of attempts have no number, and a "not executed" record
+// always means the newest attempt, so the attempts are counted here.
 using AttemptCounts = std::map<std::string, int, std::less<>>;
 
 std::optional<Record> readRecord(std::string_view payload, AttemptCounts& counts) {
@@ -123,7 +125,7 @@
   std::string_view payload;
 };
 
-// The frame that `bytes` begin with.
+// Reads the frame at the start of `bytes`.
 Frame readFrame(std::string_view bytes) {
   if (bytes.size() < kVersionOneFrameBytes) return {Frame::Kind::kTorn, {}};
   std::uint32_t size = 0;
@@ -145,7 +147,7 @@
   while (at < bytes.size()) {
     const std::string_view rest = bytes.substr(at);
     const Frame frame = readFrame(rest);
-    // Cut off by the end of the process, as far as this format can show.
+    // An incomplete frame at the end. This format cannot tell a torn write from other damage.
     if (frame.kind == Frame::Kind::kTorn) {
       found.torn += rest.size();
       return;
@@ -153,7 +155,7 @@
     std::optional<Record> record;
     if (frame.kind == Frame::Kind::kGood) record = readRecord(frame.payload, counts);
     if (!record) {
-      // Without a mark no later record can be found; what is lost there cannot be counted.
+      // Frames have no mark, so no later record can be found, and the number of lost records is unknown.
       found.corruptions.push_back({kVersionOneName, at, rest.size(), "damaged"});
       replay.noteCorruption();
       return;
--- a/src/journal/version_one.h
+++ b/src/journal/version_one.h
@@ -1,5 +1,5 @@
-// The journal's format before segments: one file `journal`, frames of length and CRC-32, no header. Read to
-// take it over, never written. O(bytes); one thread.
+// Reads journal format version 1: a single file `journal` without a header, with frames of a length, a CRC-32
+// and a payload. The format is read for conversion and never written. Not thread-safe; O(bytes).
 #pragma once
 
 #include <string_view>
@@ -9,8 +9,8 @@
 
 namespace myrtleloft {
 
-// Applies the file's records. A damaged one ends the reading, since no later record can be found: what is
-// left is reported as a corruption, and is a hole.
+// Applies the records of the file to `replay`. Stops at a damaged record, because the format gives no way to
+// find the next one, and reports the rest of the file as corrupt.
 void replayVersionOne(std::string_view bytes, Replay& replay, Recovered& found);
 
 }  // namespace myrtleloft
--- a/tests/journal/compaction_test.cpp
+++ b/tests/journal/compaction_test.cpp
@@ -1,4 +1,4 @@
-// The bound on a step of compaction.
+// The time limit of a compaction step.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -17,7 +17,9 @@
 
 TEST_CASE("a compaction step ends when its time is up, however many bytes it might still rewrite") {
   struct SlowClock : HandClock {
-    double steadyMs() const override { return const_cast<SlowClock*>(this)->nowMs += 0.4; }  // at each look
+    double steadyMs() const override {
+      return const_cast<SlowClock*>(this)->nowMs += 0.4;
+    }  // advances with each call
   };
   for (const bool slow : {false, true}) {
     Disk disk;
@@ -38,14 +40,14 @@
       REQUIRE(journal.recordAccepted(over));
       REQUIRE(journal.recordCompleted(over));
     }
-    std::uint64_t most = 0;  // of several: one may just have had no space left in its segment
+    std::uint64_t most = 0;  // of several steps: one may end early because its segment is full
     for (int i = 0; i < 4; ++i) {
       const std::uint64_t before = journal.statistics().rewrittenBytes;
       REQUIRE(journal.compactStep());
       most = std::max(most, journal.statistics().rewrittenBytes - before);
     }
-    const std::uint64_t oneLook = 32 * (recordSize(pendingRequest("s500")) + 1);
+    const std::uint64_t maxBetweenClockChecks = 32 * (recordSize(pendingRequest("s500")) + 1);
     CHECK(most > 0);
-    CHECK((most <= oneLook) == slow);
+    CHECK((most <= maxBetweenClockChecks) == slow);
   }
 }
--- a/tests/journal/corruption_test.cpp
+++ b/tests/journal/corruption_test.cpp
@@ -1,4 +1,4 @@
-// Damaged bytes in the journal: what is read in spite of them, and how they are quarantined.
+// Damaged bytes in the journal: what is recovered in spite of them, and how they are quarantined.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -20,8 +20,9 @@
 
 namespace {
 
-// The state that every prefix of the records leaves: what damage may make of it must never look better.
-struct Truth {
+// The undamaged state. Recovery from damaged files must never make a request look less ambiguous than it is
+// here.
+struct ExpectedState {
   std::map<std::string, int> attempts;  // of pending requests, by id
   std::set<std::string> decided;
 };
@@ -30,7 +31,7 @@
 
 TEST_CASE("a flipped bit at any of 500 places: no request that was attempted looks as if it had not been") {
   Disk undamaged;
-  Truth truth;
+  ExpectedState expected;
   {
     OpenedJournal opened(undamaged, 62500);
     std::map<std::string, PendingRequest> all;
@@ -51,9 +52,9 @@
     }
     for (const auto& [id, request] : all)
       if (request.status == FinalStatus::kUndecided)
-        truth.attempts[id] = static_cast<int>(request.ambiguousAttempts.size());
+        expected.attempts[id] = static_cast<int>(request.ambiguousAttempts.size());
       else
-        truth.decided.insert(id);
+        expected.decided.insert(id);
   }
   std::vector<std::pair<std::string, std::size_t>> places;
   for (const auto& [path, bytes] : undamaged.files)
@@ -70,7 +71,7 @@
     CAPTURE(path);
     CAPTURE(at);
     const bool header = at < kSegmentHeaderBytes;
-    for (int start = 0; start < 2; ++start) {  // the second start must know it too
+    for (int start = 0; start < 2; ++start) {  // the second start must detect the damage as well
       OpenedJournal opened(disk, 62500);
       REQUIRE(opened.good);
       if (start == 0) REQUIRE(opened.found.corruptions.size() == (header ? 0 : 1));
@@ -80,10 +81,10 @@
                           [](const auto& f) { return f.first.starts_with("/s/damaged-"); }));
       }
       std::size_t lost = 0;
-      for (const auto& [id, attempts] : truth.attempts) {
+      for (const auto& [id, attempts] : expected.attempts) {
         const RecoveredRequest* found = opened.found.pending.find(id);
         if (!found) {
-          ++lost;  // its acceptance was hit, and nothing else named it
+          ++lost;  // its accepted record was damaged, and no other record refers to it
           REQUIRE(attempts == 0);
           continue;
         }
@@ -92,11 +93,11 @@
           REQUIRE(request.ambiguousAttempts.size() >= static_cast<std::size_t>(attempts));
           REQUIRE(request.body.size() == 100);
         } else {
-          REQUIRE(request.status == FinalStatus::kFailed);  // only the name was left
+          REQUIRE(request.status == FinalStatus::kFailed);  // only its id was recovered
         }
       }
       REQUIRE(lost <= 1);
-      for (const std::string& id : truth.decided) {
+      for (const std::string& id : expected.decided) {
         const RecoveredRequest* found = opened.found.pending.find(id);
         REQUIRE(found);
         const PendingRequest& request = found->pending;
@@ -105,22 +106,22 @@
       recovered += opened.found.pending.size();
     }
   }
-  CHECK(recovered > 2 * 500 * 50);  // what follows the damage is read
+  CHECK(recovered > 2 * 500 * 50);  // records after the damage are read
 }
 TEST_CASE("a record in a client's body is never read as one of the journal's") {
   Disk disk;
   std::string forged;
   const std::size_t at = openFrame(forged);
   encode(CompletedRecord{"victim"}, forged);
-  closeFrame(forged, at, 0, 1);  // all but the salt is public
+  closeFrame(forged, at, 0, 1);  // everything except the salt is public knowledge
   std::size_t hit = 0;
   {
     OpenedJournal opened(disk);
-    PendingRequest victim = pendingRequest("victim"), mean = pendingRequest("mean");
-    mean.body = forged + forged;
+    PendingRequest victim = pendingRequest("victim"), attacker = pendingRequest("mean");
+    attacker.body = forged + forged;
     REQUIRE(opened.journal->recordAccepted(victim));
     hit = segmentBytes(disk, 1).size() + 6;
-    REQUIRE(opened.journal->recordAccepted(mean));
+    REQUIRE(opened.journal->recordAccepted(attacker));
   }
   disk.files["/s/" + segmentName(1)][hit] ^= 1;
   OpenedJournal opened(disk);
--- a/tests/journal/group_commit_test.cpp
+++ b/tests/journal/group_commit_test.cpp
@@ -1,4 +1,4 @@
-// The level `group`: what a sync of the disk covers, and what a failed one leaves.
+// Durability level `group`: which records a sync covers, and what happens after a failed sync.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -44,7 +44,7 @@
         waits[request.id] = journal.position();
       }
       journal.sync();
-      CHECK(syncer.jobs.size() <= 1);  // one at a time, for all of the turn
+      CHECK(syncer.jobs.size() <= 1);  // one job for all records of this iteration
       if (turn % 3 == 0) {
         syncs += syncer.jobs.size();
         syncer.work();
@@ -90,7 +90,7 @@
   syncer.work();
   REQUIRE(journal.collect());
   const std::uint64_t before = journal.durable();
-  // An attempt of a request that is safe already: its record is in the part that fails.
+  // The request is already durable, but the record of this attempt is covered by the sync that fails.
   REQUIRE(journal.recordAttempt(requests[3], {"E1", 0, 1000, 0}));
   files.failAt(files.operations() + 1, 1, EIO);
   journal.sync();
@@ -99,17 +99,17 @@
   CHECK(journal.durable() == before);
   PendingRequest fresh = pendingRequest("fresh");
   clock.nowMs += 1000;
-  CHECK(journal.recordCompleted(requests[0]));  // something to sync again
+  CHECK(journal.recordCompleted(requests[0]));  // another record to sync
   journal.sync();
   CHECK_FALSE(journal.recordAccepted(fresh));
-  CHECK(syncer.jobs.empty());  // another sync of the same file would only pretend
+  CHECK(syncer.jobs.empty());  // another sync of the same file could wrongly report success
   for (int i = 0; i < 10 && journal.wantsCompaction(); ++i) journal.compactStep();
   REQUIRE(syncer.jobs.size() == 1);
   syncer.work();
   REQUIRE(journal.collect());
   CHECK(journal.durable() == journal.position());
   CHECK(journal.recordAccepted(fresh));
-  // What the failed file holds is gone with the power: all stands in the other one.
+  // After a power loss the file with the failed sync is gone; everything must be in the other one.
   disk.losePower();
   disk.files.erase("/s/" + segmentName(1));
   const auto after = recover(files, "/s");
@@ -124,7 +124,7 @@
 struct NearlyFullJournal {
   NearlyFullJournal() {
     REQUIRE(journal.open());
-    // Every third request completes, so that live records are spread over many segments.
+    // Every third request is completed, so that live records are spread over many segments.
     for (int i = 0; i < 60; ++i) {
       accept(i);
       if (i % 3 == 0) complete(requests.back());
@@ -134,10 +134,10 @@
         REQUIRE(journal.collect());
       }
     }
-    complete(requests.back());  // there is a place for another
+    complete(requests.back());  // makes space for another request
     for (PendingRequest& request : requests) REQUIRE(journal.recordAttempt(request, {"E1", 0, 1000, 0}));
-    // All that is live does not fit beside what is there: each further segment costs its head and its last
-    // block.
+    // The disk has no space to rewrite all live records: each further segment also costs its start and its
+    // last block.
     const DiskUsage usage = journal.usage();
     const std::size_t more = usage.live / usage.segmentBytes + 1;
     REQUIRE(usage.used + usage.live + more * (usage.headBytes + kDiskBlock) > kSmallDisk);
@@ -152,7 +152,7 @@
     journal.recordCompleted(request);
     requests.pop_back();
   }
-  // false: it failed.
+  // Returns false if the sync failed.
   bool syncOnce() {
     syncer.work();
     return journal.collect();
@@ -163,7 +163,7 @@
     REQUIRE(syncer.jobs.size() == 1);
     CHECK_FALSE(syncOnce());
   }
-  // A loss of power at this moment leaves all that is pending.
+  // Checks that after a power loss at this moment all pending requests would be recovered.
   void checkNothingLost(std::size_t attempts) {
     Disk lost = disk;
     lost.losePower();
@@ -188,36 +188,36 @@
 
 }  // namespace
 
-// Guards against a journal that accepts nothing more: on a nearly full disk, what a failed sync left
-// uncertain fits beside it only when older segments go, and those may go only after a sync.
+// Guards against a journal that never accepts requests again after a failed sync on a nearly full disk. There
+// is space to rewrite the uncertain records only once older segments are deleted, and that requires a sync.
 TEST_CASE("group commit: after a failed sync on a nearly full disk it accepts again, and loses nothing") {
   constexpr int kNoSecondFault = -1;
   for (int secondFault = kNoSecondFault; secondFault < 12; ++secondFault) {
     CAPTURE(secondFault);
-    NearlyFullJournal site;
-    site.failNextSync();
+    NearlyFullJournal nearlyFull;
+    nearlyFull.failNextSync();
     PendingRequest fresh = pendingRequest("fresh");
     bool accepted = false;
     int syncs = 0;
     for (int step = 0; step < 400 && !accepted; ++step) {
       CAPTURE(step);
-      site.clock.nowMs += 5;
-      site.journal.compactStep();
-      if (!site.syncer.jobs.empty()) {
-        if (syncs == secondFault) site.files.failAt(site.files.operations() + 1, 1, EIO);
-        CHECK(site.syncOnce() == (syncs != secondFault));
+      nearlyFull.clock.nowMs += 5;
+      nearlyFull.journal.compactStep();
+      if (!nearlyFull.syncer.jobs.empty()) {
+        if (syncs == secondFault) nearlyFull.files.failAt(nearlyFull.files.operations() + 1, 1, EIO);
+        CHECK(nearlyFull.syncOnce() == (syncs != secondFault));
         ++syncs;
       }
-      site.checkNothingLost(0);
-      accepted = site.journal.recordAccepted(fresh);
+      nearlyFull.checkNothingLost(0);
+      accepted = nearlyFull.journal.recordAccepted(fresh);
     }
     CHECK(accepted);
     CHECK(syncs > 1);
     for (int i = 0; i < 3; ++i) {
-      site.journal.sync();
-      CHECK(site.syncOnce());
+      nearlyFull.journal.sync();
+      CHECK(nearlyFull.syncOnce());
     }
-    CHECK(site.journal.durable() == site.journal.position());
-    site.checkNothingLost(1);
+    CHECK(nearlyFull.journal.durable() == nearlyFull.journal.position());
+    nearlyFull.checkNothingLost(1);
   }
 }
--- a/tests/journal/journal_day.h
+++ b/tests/journal/journal_day.h
@@ -1,4 +1,5 @@
-// A day of a journal, played from a seed on a disk in memory, beside a plain record of what has to come back.
+// A random sequence of journal operations, determined by a seed, on a disk in memory, together with a model
+// of the requests that recovery must return.
 #pragma once
 
 #include <cmath>
@@ -20,11 +21,11 @@
 class RandomJournalRun {
  public:
   struct Expected {
-    PendingRequest pending;  // where the journal points to
-    std::set<int> attempts;  // attempts that were recorded and not withdrawn
-    std::set<int> maybe;     // the attempt whose record the fault may have cut off
+    PendingRequest pending;          // the journal has a pointer to it
+    std::set<int> attempts;          // numbers of recorded attempts that are not known not executed
+    std::set<int> possibleAttempts;  // numbers of attempts whose record a failed operation may have written
     bool maybeCompleted = false;
-    bool unrecorded = false;  // a final status or a withdrawal that found no space: disk may know less
+    bool unrecorded = false;  // a final status could not be written, so the disk may not have it
   };
 
   RandomJournalRun(lab::Disk& disk, std::size_t diskBytes, std::uint32_t seed) : disk_(disk), random_(seed) {
@@ -34,8 +35,8 @@
     options_.salt = 42;
   }
 
-  // Opens with what is there; an error where that is rejected. What is pending must be just what the day
-  // knows. Returns what differs, or "".
+  // Opens the journal, and compares the recovered requests with the expected ones. Returns a description of
+  // the error or of the first difference, or "" if there is none.
   std::string begin(lab::FaultyFiles& files) {
     files_ = &files;
     journal_ = std::make_unique<Journal>(Journal::Parts{files, clock, log}, options_);
@@ -58,25 +59,25 @@
     files_ = nullptr;
   }
 
-  // One step: something happens to some request, then a compaction step.
+  // Performs a random operation on a random request, followed by a compaction step.
   void step() {
     clock.nowMs += stepMs;
-    const unsigned what = random_() % 100;
-    if (pendingById.empty() || what < 38) {
-      take();
+    const unsigned operation = random_() % 100;
+    if (pendingById.empty() || operation < 38) {
+      accept();
     } else {
       auto at = pendingById.begin();
       std::advance(at, random_() % pendingById.size());
       Expected& expected = at->second;
-      if (expected.pending.status != FinalStatus::kUndecided || what < 65) {
-        finish(at);
-      } else if (what < 85 && expected.attempts.size() < 4) {
+      if (expected.pending.status != FinalStatus::kUndecided || operation < 65) {
+        complete(at);
+      } else if (operation < 85 && expected.attempts.size() < 4) {
         attempt(expected);
-      } else if (what < 92 && !expected.pending.ambiguousAttempts.empty() &&
+      } else if (operation < 92 && !expected.pending.ambiguousAttempts.empty() &&
                  expected.pending.ambiguousAttempts.back().attempt >= 0) {
         const int number = expected.pending.ambiguousAttempts.back().attempt;
         expected.attempts.erase(number);
-        if (!journal_->recordNotExecuted(expected.pending)) expected.maybe.insert(number);
+        if (!journal_->recordNotExecuted(expected.pending)) expected.possibleAttempts.insert(number);
       } else {
         if (!journal_->recordFinalStatus(expected.pending, FinalStatus::kReturned, 250))
           expected.unrecorded = true;
@@ -85,19 +86,20 @@
     journal_->compactStep();
   }
 
-  // Completes all that is pending, as a drained relay would.
-  void finishAll() {
-    while (!pendingById.empty()) finish(pendingById.begin());
+  // Completes all pending requests, as in a drain, and compacts the journal.
+  void completeAll() {
+    while (!pendingById.empty()) complete(pendingById.begin());
     for (int i = 0; i < 1000 && journal_->wantsCompaction(); ++i) {
       clock.nowMs += 1;
       journal_->compactStep();
     }
   }
 
-  // What a reading of the disk has that it should not, or lacks; "" where it is right.
+  // Returns a description of the first difference between recovered and expected requests, or "" if there is
+  // none.
   std::string compare(const Recovered& found) const {
     if (!found.corruptions.empty())
-      return found.corruptions[0].file + " taken for " + found.corruptions[0].what + " at " +
+      return found.corruptions[0].file + " wrongly reported as " + found.corruptions[0].what + " at byte " +
              std::to_string(found.corruptions[0].offset);
     for (const auto& [id, expected] : pendingById) {
       const RecoveredRequest* there = found.pending.find(id);
@@ -109,32 +111,33 @@
       std::set<int> attempts;
       for (const RecordedAttempt& recorded : pending.ambiguousAttempts) attempts.insert(recorded.attempt);
       for (const int wanted : expected.attempts)
-        if (!attempts.count(wanted)) return id + " lacks its attempt " + std::to_string(wanted);
+        if (!attempts.count(wanted))
+          return id + " was recovered without its attempt " + std::to_string(wanted);
       for (const int there : attempts)
-        if (!expected.attempts.count(there) && !expected.maybe.count(there))
-          return id + " has an attempt too many: " + std::to_string(there);
+        if (!expected.attempts.count(there) && !expected.possibleAttempts.count(there))
+          return id + " was recovered with an unexpected attempt: " + std::to_string(there);
       if (!expected.unrecorded && pending.status != expected.pending.status)
-        return id + " has another final status";
+        return id + " was recovered with a different final status";
       if (pending.status == FinalStatus::kUndecided && pending.body != expected.pending.body &&
           !expected.unrecorded)
-        return id + " has another body";
+        return id + " was recovered with a different body";
     }
     for (const RecoveredRequest& request : found.pending)
       if (!pendingById.count(request.pending.id) && !maybeAccepted.count(request.pending.id))
-        return request.pending.id + " should not be there";
+        return request.pending.id + " was recovered unexpectedly";
     return "";
   }
 
   HandClock clock;
   double stepMs = 1;
-  std::map<std::string, Expected> pendingById;  // nodes stay where they are
-  std::set<std::string> maybeAccepted;  // not accepted, or completed, by an operation that failed half-way
+  std::map<std::string, Expected> pendingById;  // a map, whose nodes have stable addresses
+  std::set<std::string> maybeAccepted;  // ids whose acceptance or completion failed and may be on the disk
   std::ostringstream log;
   std::uint64_t acceptedCount = 0, rejectedCount = 0;
   Journal& journal() { return *journal_; }
 
  private:
-  void take() {
+  void accept() {
     const std::string id = "m" + std::to_string(++serial_);
     Expected& expected = pendingById[id];
     expected.pending.id = id;
@@ -156,9 +159,9 @@
     if (journal_->recordAttempt(expected.pending, {"E1", 1, clock.wallMs(), 0}))
       expected.attempts.insert(number);
     else
-      expected.maybe.insert(number);
+      expected.possibleAttempts.insert(number);
   }
-  void finish(std::map<std::string, Expected>::iterator at) {
+  void complete(std::map<std::string, Expected>::iterator at) {
     if (!journal_->recordCompleted(at->second.pending)) maybeAccepted.insert(at->first);
     pendingById.erase(at);
   }
--- a/tests/journal/journal_site.h
+++ b/tests/journal/journal_site.h
@@ -1,4 +1,4 @@
-// A journal on a disk in memory, opened as a process would, and requests for it.
+// Test fixture: a journal on a disk in memory, and requests for it.
 #pragma once
 
 #include <memory>
@@ -35,7 +35,7 @@
 
 inline std::size_t recordSize(const PendingRequest& request) { return kFrameBytes + encodedSize(request); }
 
-// The folder's journal with all that was found in it attached, until the end of the scope.
+// Opens the journal of the disk's folder as a process would, and attaches all recovered requests.
 struct OpenedJournal {
   explicit OpenedJournal(lab::Disk& disk, std::size_t limit = 1000000) : files(disk) {
     JournalOptions options;
--- a/tests/journal/journal_tool_test.cpp
+++ b/tests/journal/journal_tool_test.cpp
@@ -1,4 +1,4 @@
-// The tools that look into a journal whose segments begin with names.
+// The command line tools on a journal whose segments have name tables.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -24,8 +24,8 @@
     path = ::mkdtemp(name.data());
   }
   ~Folder() { fs::remove_all(path); }
-  // An earlier process with a class of that name, and one request of it.
-  void leave(const char* cls, const char* id) const {
+  // Writes what a process with a class of this name and one pending request leaves in the folder.
+  void writeRequest(const char* cls, const char* id) const {
     PosixFiles files;
     const Clock clock;
     std::ostringstream log;
@@ -56,12 +56,12 @@
 
 TEST_CASE("journal inspect, verify, dump and compact know the names") {
   const Folder folder;
-  folder.leave("charge", "a");
-  folder.leave("charge", "b");
+  folder.writeRequest("charge", "a");
+  folder.writeRequest("charge", "b");
   std::string out;
   CHECK_EQ(folder.run("verify", out), kExitSuccess);
   CHECK(has(out, R"("owed":2)"));
-  CHECK(has(out, R"("records":4)"));  // names are none
+  CHECK(has(out, R"("records":4)"));  // name tables are not counted
   CHECK_EQ(folder.run("inspect", out), kExitSuccess);
   CHECK(has(out, R"("in_doubt":2)"));
   CHECK_EQ(folder.run("dump", out), kExitSuccess);
@@ -76,8 +76,8 @@
 TEST_CASE("journal compact leaves a folder of more than one configuration to the relay") {
   for (const char* first : {"charge", ""}) {
     const Folder folder;
-    folder.leave(first, "a");
-    folder.leave("status", "b");
+    folder.writeRequest(first, "a");
+    folder.writeRequest("status", "b");
     std::string out, before, after;
     CHECK_EQ(folder.run("dump", before), kExitSuccess);
     CHECK_EQ(folder.run("compact", out), kExitUnavailable);
--- a/tests/journal/lost_records_test.cpp
+++ b/tests/journal/lost_records_test.cpp
@@ -1,4 +1,4 @@
-// Records lost with damaged, cut or missing parts: what comes back as an ambiguous attempt.
+// Records lost in damaged, truncated or missing segments, and the ambiguous attempts added for them.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -43,19 +43,21 @@
     const auto request = [&](const char* id) -> PendingRequest& {
       return opened.found.pending.find(id)->pending;
     };
-    // The withdrawal names an attempt that is not there: it must not take back another's.
+    // The record that an attempt was not executed refers to a lost attempt and must not remove any other.
     REQUIRE(request("a").ambiguousAttempts.size() == 1 + (start > 1 ? 1 : 0));
     CHECK(request("a").ambiguousAttempts[0].attempt == RecordedAttempt::kLostAttempt);
     CHECK(request("a").ambiguousAttempts[0].zone == RecordedAttempt::kLostZone);
-    CHECK(request("a").ambiguousAttempts[0].sentWallMs == 500);  // no attempt came before it was accepted
-    REQUIRE(request("b").ambiguousAttempts.size() == 1);  // its first attempt has number 0: none is missing
+    CHECK(request("a").ambiguousAttempts[0].sentWallMs == 500);  // the time at which it was accepted
+    REQUIRE(request("b").ambiguousAttempts.size() == 1);         // attempt 0 is recorded: none is missing
     CHECK(request("b").ambiguousAttempts[0].attempt == 0);
-    CHECK(request("c").ambiguousAttempts.size() == 1);  // accepted behind the damage
+    CHECK(request("c").ambiguousAttempts.size() == 1);  // accepted after the damaged record
     CHECK(request("d").ambiguousAttempts.size() == 1);
-    // Its second attempt is lost, its first is not: the withdrawal of the second must leave the first.
+    // Its second attempt is lost and its first is not: that the second was not executed must not remove the
+    // first.
     CHECK(std::any_of(request("e").ambiguousAttempts.begin(), request("e").ambiguousAttempts.end(),
                       [](const RecordedAttempt& attempt) { return attempt.attempt == 0; }));
-    // An attempt by the process that read the damage must not pass for the proof that none was lost.
+    // An attempt by the process that recovered the damaged journal must not be taken as proof that none was
+    // lost.
     if (start == 1) REQUIRE(opened.journal->recordAttempt(request("a"), {"E3", 1, 2000, 0}));
   }
 }
@@ -73,7 +75,7 @@
       REQUIRE(opened.journal->recordAttempt(charge, {"E1", 0, 1000, 0}));
     }
     if (how != How::kFlipped)
-      OpenedJournal another(disk);  // only the next segment states where this one ended
+      OpenedJournal another(disk);  // creates the next segment, whose header records the length of this one
     std::string& bytes = disk.files["/s/" + segmentName(1)];
     if (how == How::kFlipped)
       bytes[bytes.size() - 3] ^= 1;
@@ -115,6 +117,6 @@
     CHECK(opened.found.corruptions[0].file == segmentName(2));
     REQUIRE(opened.found.pending.find("first"));
     CHECK(opened.found.pending.find("first")->pending.ambiguousAttempts.size() == 1);
-    CHECK(opened.found.pending.find("o39")->pending.ambiguousAttempts.size() == 1);  // its own
+    CHECK(opened.found.pending.find("o39")->pending.ambiguousAttempts.size() == 1);  // its own attempt
   }
 }
--- a/tests/journal/name_table_corruption_test.cpp
+++ b/tests/journal/name_table_corruption_test.cpp
@@ -1,4 +1,4 @@
-// The names at the front of the journal's segments under crashes, damage and the disk's bound.
+// Name tables at the start of segments: crashes, damage and the disk budget.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -15,7 +15,7 @@
 TEST_CASE("restarts without anything recorded leave one segment, names and all") {
   Disk disk;
   for (int start = 0; start < 5; ++start) {
-    Opened opened(disk, start % 2 == 0 ? kThen : kTurned);
+    Opened opened(disk, start % 2 == 0 ? kOriginalNames : kReorderedNames);
     REQUIRE(opened.good);
     CHECK(opened.journal->newestSegment() == 1);
   }
@@ -23,32 +23,32 @@
 
 TEST_CASE("names damaged: the other copy counts; with both gone, nothing of the segment is sent") {
   Disk undamaged;
-  leave(undamaged, kThen);
+  writeRequests(undamaged, kOriginalNames);
   const std::string path = "/s/" + segmentName(1);
-  const std::size_t copy = (Journal::headBytes(kThen) - kSegmentHeaderBytes) / 2;
-  for (std::size_t at = kSegmentHeaderBytes; at < Journal::headBytes(kThen); ++at) {
+  const std::size_t copy = (Journal::headBytes(kOriginalNames) - kSegmentHeaderBytes) / 2;
+  for (std::size_t at = kSegmentHeaderBytes; at < Journal::headBytes(kOriginalNames); ++at) {
     Disk disk = undamaged;
     disk.files[path][at] = static_cast<char>(disk.files[path][at] ^ (1 << (at % 8)));
-    Opened opened(disk, kTurned);
+    Opened opened(disk, kReorderedNames);
     REQUIRE(opened.good);
     CHECK(opened.found.corruptions.size() == 1);
     REQUIRE(opened.found.pending.size() == 4);
     CHECK(opened.of("c").pending.classIndex == 0);
-    CHECK(opened.of("u").pending.ambiguousAttempts.empty());  // it stands behind the damage
+    CHECK(opened.of("u").pending.ambiguousAttempts.empty());  // its records follow the damage
   }
   Disk disk = undamaged;
   disk.files[path][kSegmentHeaderBytes + 20] ^= 1;
   disk.files[path][kSegmentHeaderBytes + copy + 20] ^= 1;
-  Opened opened(disk, kThen);  // even under the same settings: nothing says that they are the same
+  Opened opened(disk, kOriginalNames);  // the settings are the same, but nothing proves that
   REQUIRE(opened.good);
   REQUIRE(opened.found.pending.size() == 4);
   for (RecoveredRequest& request : opened.found.pending)
-    CHECK_FALSE(mayContinue(request.pending, request.permission, settingsOf(kThen), {2000, 0, 0}));
+    CHECK_FALSE(mayContinue(request.pending, request.permission, settingsOf(kOriginalNames), {2000, 0, 0}));
 }
 
 TEST_CASE("a crash at each operation while another configuration takes the folder on loses no meaning") {
   Disk undamaged;
-  leave(undamaged, kThen);
+  writeRequests(undamaged, kOriginalNames);
   for (int at = 1; at < 40; ++at) {
     Disk disk = undamaged;
     {
@@ -57,7 +57,7 @@
       HandClock clock;
       std::ostringstream log;
       JournalOptions options{"/s", 62500, 0, {}, "the test", 7};
-      options.names = kTurned;
+      options.names = kReorderedNames;
       options.tuning.freeShare = 1;
       options.tuning.maxSegments = 1;
       Journal journal({files, clock, log}, options);
@@ -67,7 +67,7 @@
       }
     }
     CAPTURE(at);
-    Opened opened(disk, kThen);
+    Opened opened(disk, kOriginalNames);
     REQUIRE(opened.good);
     REQUIRE(opened.found.pending.size() == 4);
     CHECK(opened.found.corruptions.empty());
@@ -79,7 +79,7 @@
 }
 
 TEST_CASE("names as long as the settings may have them: the disk's bound holds") {
-  NameTable large = kThen;
+  NameTable large = kOriginalNames;
   while (Journal::headBytes(large) < 62500 / 32 - 100)
     large.tenants.push_back("tenant-" + std::to_string(large.tenants.size()));
   Disk disk;
@@ -116,17 +116,17 @@
       HandClock clock;
       std::ostringstream log;
       JournalOptions options{"/s", 62500, 0, {}, "the test", 7};
-      options.names = kThen;
+      options.names = kOriginalNames;
       Journal journal({files, clock, log}, options);
       if (auto found = journal.open()) CHECK(found->pending.find("a")->pending.classIndex == 2);
     }
     CAPTURE(at);
-    const bool accepted = disk.files.count("/s/journal") == 0;
-    Opened opened(disk, kTurned);
+    const bool converted = disk.files.count("/s/journal") == 0;
+    Opened opened(disk, kReorderedNames);
     REQUIRE(opened.good);
-    // Once it stands under the names of the first, it is found again by them.
-    if (accepted) CHECK(opened.of("a").pending.classIndex == 0);
-    if (accepted) CHECK(opened.of("a").pending.ambiguousAttempts.front().zone == 0);
+    // After the conversion its numbers are translated by the names of the converting process.
+    if (converted) CHECK(opened.of("a").pending.classIndex == 0);
+    if (converted) CHECK(opened.of("a").pending.ambiguousAttempts.front().zone == 0);
     CHECK(opened.of("a").pending.ambiguousAttempts.size() == 1);
   }
 }
--- a/tests/journal/name_table_site.h
+++ b/tests/journal/name_table_site.h
@@ -1,4 +1,5 @@
-// A journal whose numbers have names, on a disk in memory, and what an earlier process left in it.
+// Test fixture: a journal with name tables on a disk in memory, and pending requests written by an earlier
+// process.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -18,22 +19,23 @@
 using lab::FaultyFiles;
 using lab::HandClock;
 
-inline constexpr double kSpanMs = 5000;
+inline constexpr double kIdempotencyWindowMs = 5000;
 
-inline ClassEntry meaning(const char* name, Idempotency repeat,
-                          DeduplicationScope group = DeduplicationScope::kDestination,
-                          double spanMs = kSpanMs) {
-  return {name, repeat, group, spanMs};
+inline ClassEntry classEntry(const char* name, Idempotency classIdempotency,
+                             DeduplicationScope scope = DeduplicationScope::kDestination,
+                             double windowMs = kIdempotencyWindowMs) {
+  return {name, classIdempotency, scope, windowMs};
 }
-inline const NameTable kThen{{meaning("status", Idempotency::kIdempotent),
-                              meaning("order", Idempotency::kIdempotentWithKey, DeduplicationScope::kZone),
-                              meaning("charge", Idempotency::kNonIdempotent)},
-                             {"costa", "puerto"},
-                             {"norte", "sur"}};
-// The same names, all at other numbers.
-inline const NameTable kTurned{
-    {meaning("charge", Idempotency::kNonIdempotent), meaning("status", Idempotency::kIdempotent),
-     meaning("order", Idempotency::kIdempotentWithKey, DeduplicationScope::kZone)},
+inline const NameTable kOriginalNames{
+    {classEntry("status", Idempotency::kIdempotent),
+     classEntry("order", Idempotency::kIdempotentWithKey, DeduplicationScope::kZone),
+     classEntry("charge", Idempotency::kNonIdempotent)},
+    {"costa", "puerto"},
+    {"norte", "sur"}};
+// The same names, all with other numbers.
+inline const NameTable kReorderedNames{
+    {classEntry("charge", Idempotency::kNonIdempotent), classEntry("status", Idempotency::kIdempotent),
+     classEntry("order", Idempotency::kIdempotentWithKey, DeduplicationScope::kZone)},
     {"puerto", "costa"},
     {"sur", "este", "norte"}};
 
@@ -72,8 +74,8 @@
   return request;
 }
 
-// One of each class with an attempt out in zone `sur`, and one that was never tried.
-inline void leave(Disk& disk, const NameTable& names) {
+// Writes one request of each class with an ambiguous attempt in zone `sur`, and one request without attempts.
+inline void writeRequests(Disk& disk, const NameTable& names) {
   Opened opened(disk, names);
   REQUIRE(opened.good);
   PendingRequest all[] = {pending("s", 0, 0), pending("o", 1, 1), pending("c", 2, 0)};
--- a/tests/journal/name_table_test.cpp
+++ b/tests/journal/name_table_test.cpp
@@ -1,5 +1,6 @@
-// What is recorded under names, read by a process whose settings give the numbers other meanings: by name,
-// and where something may have run no more freely than the settings of then and those of now both allow.
+// Recovery by a process whose settings assign other numbers to the names, or other properties to a class.
+// Numbers are translated by name, and a request that may have been executed is sent again only if both the
+// recorded and the current class settings permit it.
 #include <doctest/doctest.h>
 
 #include <sstream>
@@ -12,10 +13,10 @@
 
 namespace {
 
-// Whether one of class "x", sent at 1,000, goes on when the class has another meaning at 2,000; its attempt's
-// time in `sentMs`.
-bool goesOn(const ClassEntry& then, const ClassEntry& now, const char* key = "k", double* sentMs = nullptr,
-            double wallMs = 2000) {
+// Returns whether a request of a class that was `then`, with an attempt at 1,000 ms, may continue at `wallMs`
+// when its class is `now`. Stores the recovered time of the attempt in `sentMs`.
+bool mayContinueAfterChange(const ClassEntry& then, const ClassEntry& now, const char* key = "k",
+                            double* sentMs = nullptr, double wallMs = 2000) {
   Disk disk;
   const NameTable before{{then}, {}, {"norte"}}, after{{now}, {}, {"norte"}};
   {
@@ -29,20 +30,20 @@
   REQUIRE(opened.good);
   RecoveredRequest* request = opened.found.pending.find("x");
   REQUIRE(request);
-  const bool on = mayContinue(request->pending, request->permission, settingsOf(after),
-                              {wallMs, newestRecordedWallMs(opened.found.pending), 0});
+  const bool permitted = mayContinue(request->pending, request->permission, settingsOf(after),
+                                     {wallMs, newestRecordedWallMs(opened.found.pending), 0});
   if (sentMs) *sentMs = request->pending.ambiguousAttempts.front().sentWallMs;
-  return on;
+  return permitted;
 }
 
 }  // namespace
 
 TEST_CASE("classes, tenants and zones are found again by name, whatever their numbers are now") {
   Disk disk;
-  leave(disk, kThen);
-  for (int start = 0; start < 2;
-       ++start) {  // the second reads what the first left, in its own segment or not
-    Opened opened(disk, kTurned);
+  writeRequests(disk, kOriginalNames);
+  // The second start also reads segments that the first one wrote.
+  for (int start = 0; start < 2; ++start) {
+    Opened opened(disk, kReorderedNames);
     REQUIRE(opened.good);
     REQUIRE(opened.found.pending.size() == 4);
     CHECK(opened.of("s").pending.classIndex == 1);
@@ -52,10 +53,10 @@
     CHECK(opened.of("s").pending.tenant == 1);
     CHECK(opened.of("o").pending.tenant == 0);
     CHECK(opened.of("o").pending.ambiguousAttempts.front().zone == 0);  // "sur"
-    // Carried over, they stand under the names of now.
+    // Compaction rewrites the requests with the current numbers.
     for (int i = 0; i < 100 && opened.journal->wantsCompaction(); ++i) REQUIRE(opened.journal->compactStep());
   }
-  Opened back(disk, kThen);
+  Opened back(disk, kOriginalNames);
   REQUIRE(back.good);
   CHECK(back.of("c").pending.classIndex == 2);
   CHECK(back.of("o").pending.ambiguousAttempts.front().zone == 1);
@@ -64,16 +65,16 @@
 TEST_CASE(
     "two configurations in turn on one folder: each attempt counts under the names it was recorded by") {
   Disk disk;
-  leave(disk, kThen);
+  writeRequests(disk, kOriginalNames);
   {
-    Opened opened(disk, kTurned);
+    Opened opened(disk, kReorderedNames);
     RecoveredRequest* request = opened.found.pending.find("o");
     REQUIRE(request);
     REQUIRE(opened.journal->recordAttempt(request->pending, {"E2", 2, 1500, 0}));  // "norte"
     PendingRequest fresh = pending("f", 0, 0);                                     // "charge", "puerto"
     REQUIRE(opened.journal->recordAccepted(fresh));
   }
-  Opened opened(disk, kThen);
+  Opened opened(disk, kOriginalNames);
   REQUIRE(opened.good);
   const PendingRequest& order = opened.of("o").pending;
   REQUIRE(order.ambiguousAttempts.size() == 2);
@@ -86,11 +87,12 @@
 TEST_CASE(
     "a folder left by another deployment: nothing of it is sent, whatever its numbers would mean here") {
   Disk disk;
-  leave(disk, kThen);
-  const NameTable other{{meaning("mail", Idempotency::kIdempotent), meaning("scan", Idempotency::kIdempotent),
-                         meaning("index", Idempotency::kIdempotent)},
-                        {"dinas", "sir"},
-                        {"de"}};
+  writeRequests(disk, kOriginalNames);
+  const NameTable other{
+      {classEntry("mail", Idempotency::kIdempotent), classEntry("scan", Idempotency::kIdempotent),
+       classEntry("index", Idempotency::kIdempotent)},
+      {"dinas", "sir"},
+      {"de"}};
   Opened opened(disk, other);
   REQUIRE(opened.good);
   for (RecoveredRequest& request : opened.found.pending) {
@@ -98,8 +100,8 @@
     for (const RecordedAttempt& attempt : request.pending.ambiguousAttempts)
       CHECK(attempt.zone == RecordedAttempt::kLostZone);
   }
-  // The same classes, but the tenants are not ours.
-  NameTable tenants = kThen;
+  // The same classes, but other tenants.
+  NameTable tenants = kOriginalNames;
   tenants.tenants = {"dinas", "sir"};
   Opened again(disk, tenants);
   for (RecoveredRequest& request : again.found.pending)
@@ -107,31 +109,33 @@
 }
 
 TEST_CASE("a class of the same name with another meaning: what may have run goes on only as both allow") {
-  const auto loose = meaning("x", Idempotency::kIdempotent), once = meaning("x", Idempotency::kNonIdempotent);
-  const auto keyed = meaning("x", Idempotency::kIdempotentWithKey),
-             zoned = meaning("x", Idempotency::kIdempotentWithKey, DeduplicationScope::kZone);
-  CHECK_FALSE(goesOn(once, loose));
-  CHECK_FALSE(goesOn(once, keyed));
-  CHECK_FALSE(goesOn(keyed, loose));
-  CHECK_FALSE(goesOn(zoned, keyed));
-  CHECK(goesOn(keyed, zoned));
-  CHECK(goesOn(loose, keyed));
-  CHECK_FALSE(goesOn(loose, keyed, ""));  // nothing by which an endpoint could recognize the repeat
-  CHECK(goesOn(loose, once));             // on to the module, which sends nothing that may have run
+  const auto loose = classEntry("x", Idempotency::kIdempotent),
+             once = classEntry("x", Idempotency::kNonIdempotent);
+  const auto keyed = classEntry("x", Idempotency::kIdempotentWithKey),
+             zoned = classEntry("x", Idempotency::kIdempotentWithKey, DeduplicationScope::kZone);
+  CHECK_FALSE(mayContinueAfterChange(once, loose));
+  CHECK_FALSE(mayContinueAfterChange(once, keyed));
+  CHECK_FALSE(mayContinueAfterChange(keyed, loose));
+  CHECK_FALSE(mayContinueAfterChange(zoned, keyed));
+  CHECK(mayContinueAfterChange(keyed, zoned));
+  CHECK(mayContinueAfterChange(loose, keyed));
+  CHECK_FALSE(mayContinueAfterChange(loose, keyed, ""));  // the endpoint could not detect a duplicate
+  CHECK(mayContinueAfterChange(loose, once));             // the dispatcher decides, and does not resend it
   double sentMs = 0;
-  const auto shorter = meaning("x", Idempotency::kIdempotentWithKey, DeduplicationScope::kDestination, 1000);
-  CHECK(goesOn(shorter, keyed, "k", &sentMs));
-  CHECK(sentMs + kSpanMs == 1000 + 1000);  // the window of then
-  CHECK(goesOn(keyed, shorter, "k", &sentMs));
-  CHECK(sentMs == 1000);                                     // the module goes by the window of now
-  CHECK_FALSE(goesOn(shorter, keyed, "k", &sentMs, -1000));  // the clock was set back
+  const auto shorter =
+      classEntry("x", Idempotency::kIdempotentWithKey, DeduplicationScope::kDestination, 1000);
+  CHECK(mayContinueAfterChange(shorter, keyed, "k", &sentMs));
+  CHECK(sentMs + kIdempotencyWindowMs == 1000 + 1000);  // the window of the recorded settings
+  CHECK(mayContinueAfterChange(keyed, shorter, "k", &sentMs));
+  CHECK(sentMs == 1000);  // the dispatcher applies the window of the current settings
+  CHECK_FALSE(mayContinueAfterChange(shorter, keyed, "k", &sentMs, -1000));  // the wall clock was set back
 }
 
 TEST_CASE("the shorter of two idempotency windows outlasts a rewriting") {
   Disk disk;
   const NameTable then{
-      {meaning("x", Idempotency::kIdempotentWithKey, DeduplicationScope::kDestination, 1000)}, {}, {}},
-      now{{meaning("x", Idempotency::kIdempotentWithKey)}, {}, {}};
+      {classEntry("x", Idempotency::kIdempotentWithKey, DeduplicationScope::kDestination, 1000)}, {}, {}},
+      now{{classEntry("x", Idempotency::kIdempotentWithKey)}, {}, {}};
   {
     Opened opened(disk, then);
     PendingRequest request = pending("x", 0);
@@ -142,7 +146,7 @@
     JournalOptions options{"/s", 1000000, 0, {}, "the test", 7};
     options.names = now;
     options.tuning.freeShare = 1;
-    options.tuning.maxSegments = 1;  // carries all over at once
+    options.tuning.maxSegments = 1;  // rewrites all requests at once
     disk.locks.clear();
     HandClock clock;
     FaultyFiles files(disk);
@@ -154,7 +158,7 @@
     REQUIRE(request);
     CHECK(request->permission.has_value() == (start == 0));
     CHECK(mayContinue(request->pending, request->permission, settingsOf(now), {2000, 0, 0}));
-    CHECK(request->pending.ambiguousAttempts.front().sentWallMs == 1000 + 1000 - kSpanMs);
+    CHECK(request->pending.ambiguousAttempts.front().sentWallMs == 1000 + 1000 - kIdempotencyWindowMs);
     journal.attach(request->pending);
     for (int i = 0; i < 10 && journal.wantsCompaction(); ++i) REQUIRE(journal.compactStep());
   }
@@ -162,11 +166,11 @@
 
 TEST_CASE("a folder without names is taken over: its numbers mean what they mean now") {
   Disk disk;
-  leave(disk, {});
+  writeRequests(disk, {});
   for (const auto& [path, bytes] : disk.files)
     if (path.ends_with(".seg")) CHECK(readHeader(bytes).version == kUnnamedVersion);
   {
-    Opened opened(disk, kTurned);
+    Opened opened(disk, kReorderedNames);
     REQUIRE(opened.good);
     CHECK(opened.of("s").pending.classIndex == 0);
     CHECK(opened.of("o").pending.ambiguousAttempts.front().zone == 1);
@@ -174,7 +178,7 @@
     PendingRequest fresh = pending("f", 0);
     REQUIRE(opened.journal->recordAccepted(fresh));
   }
-  Opened opened(disk, kThen);
+  Opened opened(disk, kOriginalNames);
   CHECK(opened.of("s").pending.classIndex == 0);
   CHECK(opened.of("f").pending.classIndex == 2);  // "charge"
 }
--- a/tests/journal/opening_test.cpp
+++ b/tests/journal/opening_test.cpp
@@ -1,4 +1,4 @@
-// Folders that cannot be opened.
+// Folders that the journal refuses to open.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -26,7 +26,7 @@
     CHECK(second.error.find("pid 12") != std::string::npos);
   }
   Disk newer = disk;
-  // As a later version would write it: all that is promised are the first 16 bytes.
+  // A file of a later version, of which only the format of the first 16 bytes is known.
   newer.files["/s/" + segmentName(9)] = encodePreamble(kJournalVersion + 1) + "whatever it then says";
   const auto before = newer.files;
   OpenedJournal opened(newer);
