--- a/tests/journal/planner_test.cpp
+++ b/tests/journal/planner_test.cpp
@@ -1,4 +1,5 @@
-// The planner against its promises, under loads that RapidCheck chooses; and records against their bytes.
+// Checks the planner's guarantees, and the encoding of records and segments, with random input from
+// RapidCheck.
 #include "journal/planner.h"
 
 #include <doctest/doctest.h>
@@ -18,7 +19,7 @@
 
 namespace {
 
-// A journal without bytes: sizes only, one list of live records per segment.
+// A model of a journal that has only the sizes of segments and of their live records.
 struct Model {
   struct Segment {
     std::size_t bytes = 0;
@@ -85,17 +86,17 @@
         model.reserved -= planner.tuning().perRequestReserve;
         model.append(60);
       }
-      // All reserves used up at once, in the smallest of pieces, without any compaction.
+      // The worst case: all reserves are used at once, in small records, without any compaction.
       Model worst = model;
       for (std::size_t left = model.reserved; left > 0; left -= std::min<std::size_t>(left, 128))
         worst.append(std::min<std::size_t>(left, 128));
       RC_ASSERT(worst.usage().used <= disk);
-      // And still the oldest segment can be rewritten before it goes.
+      // Even then the oldest segment can be rewritten before it is deleted.
       if (worst.segments.size() > 1) {
         for (const std::size_t live : worst.segments.front().live) worst.append(live);
         RC_ASSERT(worst.usage().used <= disk);
       }
-      // Steps, as the journal runs them.
+      // A compaction step, as in the journal.
       std::size_t most = planner.stepBytes(model.usage());
       model.since = 0;
       while (most > 0 && model.segments.size() > 1) {
@@ -146,7 +147,7 @@
       model.segments.back().live.push_back(700);
       model.reserved += planner.tuning().perRequestReserve;
     }
-    // The space for requests is no smaller than the 35% of the disk that version 1 had.
+    // The space for requests is at least 35% of the disk budget, as in version 1.
     RC_ASSERT(model.usage().live + model.reserved >= disk * 35 / 100);
     std::size_t steps = 0;
     while (planner.stepBytes(model.usage()) > 0 && model.segments.size() > 1) {
@@ -186,7 +187,7 @@
     RC_ASSERT(back.status == request.status && back.attempts == request.attempts &&
               back.isRetry == request.isRetry);
     RC_ASSERT(back.ambiguousAttempts.size() == request.ambiguousAttempts.size());
-    // Cut anywhere, or with a byte behind it, it is none.
+    // A truncated record, or one followed by another byte, is invalid.
     for (std::size_t size = 0; size < bytes.size(); ++size)
       RC_ASSERT(!decode(std::string_view(bytes).substr(0, size)));
     RC_ASSERT(!decode(bytes + "x"));
--- a/tests/journal/stored_files_test.cpp
+++ b/tests/journal/stored_files_test.cpp
@@ -1,4 +1,5 @@
-// The files beside the journal that the text of commit d274781 stored: lock, endpoint list and incarnation.
+// Compatibility with the other state files written by the program of commit d274781: lock file, endpoint list
+// and incarnation.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -20,7 +21,7 @@
   PosixFiles files;
   auto lock = files.lockIfExists(path);
   REQUIRE(lock);
-  // The text of d274781 held the same file in the same way: flock(2).
+  // The program of d274781 locked the same file in the same way, with flock(2).
   std::ostringstream log;
   const lab::HandClock clock = clockOfLast("current");
   const JournalOptions options{copy.path, 1200000, 16384, {}, "the test", 7};
@@ -40,7 +41,7 @@
   PosixFiles files;
   for (const std::string name : {"current", "program"}) {
     CAPTURE(name);
-    const CachedList found = readCachedList(files, (kStored / name).string(), nullptr);
+    const CachedList found = readCachedList(files, (kStoredStates / name).string(), nullptr);
     CHECK(found.usable);
     CHECK(found.complete);
     CHECK_FALSE(found.fault);
@@ -57,19 +58,19 @@
 
 TEST_CASE("stored state: zones and kinds of the endpoint list are found again by name") {
   PosixFiles files;
-  const IndexNames names{{"este", "norte"}, {"other", "large"}};  // "sur" is gone
-  const CachedList found = readCachedList(files, (kStored / "current").string(), &names);
+  const IndexNames names{{"este", "norte"}, {"other", "large"}};  // "sur" is missing
+  const CachedList found = readCachedList(files, (kStoredStates / "current").string(), &names);
   REQUIRE(found.usable);
   Lines expected, endpoints;
   std::size_t gone = 0;
   for (const std::string& line : expectedLines("current-members.txt")) {
-    Lines fields = fieldsOf(line);
+    Lines fields = splitFields(line);
     if (fields[0] != "endpoint") continue;
     gone += fields[3] == "1";
     if (fields[3] == "1") continue;
     fields[3] = fields[3] == "0" ? "1" : "0";
     fields[4] = fields[4] == "0" ? "1" : "0";
-    expected.push_back(joined(fields));
+    expected.push_back(joinFields(fields));
   }
   for (const EndpointRecord& endpoint : found.list.endpoints) endpoints.push_back(lineOf(endpoint));
   checkSame(endpoints, expected);
--- a/tests/journal/stored_state.h
+++ b/tests/journal/stored_state.h
@@ -1,5 +1,6 @@
-// State folders in the stored form of an earlier text, and what a reading of them finds, as lines of fields
-// between tabs. tests/data/state-d274781/README.md says who wrote the folders and what the fields are.
+// State folders written by earlier versions of the program, and formatting of the recovered state as lines
+// with tab-separated fields. See tests/data/state-d274781/README.md for the origin of the folders and the
+// fields.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -25,7 +26,8 @@
 
 using Lines = std::vector<std::string>;
 
-inline const std::filesystem::path kStored = std::filesystem::path(MYRTLELOFT_TEST_DATA) / "state-d274781";
+inline const std::filesystem::path kStoredStates =
+    std::filesystem::path(MYRTLELOFT_TEST_DATA) / "state-d274781";
 
 inline std::string contentOf(const std::filesystem::path& path) {
   std::ifstream file(path, std::ios::binary);
@@ -35,28 +37,28 @@
   return out.str();
 }
 
-// The lines of a file of the stored data.
+// Returns the lines of a file in the stored test data.
 inline Lines expectedLines(const std::string& name) {
-  std::ifstream file(kStored / name);
+  std::ifstream file(kStoredStates / name);
   REQUIRE(file);
   Lines lines;
   for (std::string line; std::getline(file, line);) lines.push_back(line);
   return lines;
 }
 
-inline Lines fieldsOf(const std::string& line) {
+inline Lines splitFields(const std::string& line) {
   std::istringstream rest(line);
   Lines fields;
   for (std::string field; std::getline(rest, field, '\t');) fields.push_back(field);
   return fields;
 }
-inline std::string joined(const Lines& fields) {
+inline std::string joinFields(const Lines& fields) {
   std::string line;
   for (const std::string& field : fields) line += (&field == &fields.front() ? "" : "\t") + field;
   return line;
 }
 
-// Only those of requests, without the last field, which names the segment.
+// Returns the lines of requests only, without their last field, the segment.
 inline Lines withoutSegment(const Lines& lines) {
   Lines requests;
   for (const std::string& line : lines)
@@ -67,16 +69,16 @@
 inline void checkSame(const Lines& found, const Lines& expected) {
   CHECK_EQ(found.size(), expected.size());
   for (std::size_t i = 0; i < std::min(found.size(), expected.size()); ++i)
-    REQUIRE_EQ(found[i], expected[i]);  // from the first difference on, all may be shifted
+    REQUIRE_EQ(found[i], expected[i]);  // stops at the first difference, after which all lines may be shifted
 }
 
-// A copy of one of the folders, which a process may write to.
+// A temporary copy of one of the folders, for tests that write to it.
 struct StoredCopy {
   explicit StoredCopy(const char* name) {
     std::string pattern = (std::filesystem::temp_directory_path() / "stored-XXXXXX").string();
     REQUIRE(::mkdtemp(pattern.data()));
     path = pattern;
-    std::filesystem::copy(kStored / name, path, std::filesystem::copy_options::recursive);
+    std::filesystem::copy(kStoredStates / name, path, std::filesystem::copy_options::recursive);
   }
   ~StoredCopy() { std::filesystem::remove_all(path); }
   StoredCopy(const StoredCopy&) = delete;
@@ -84,8 +86,8 @@
   std::string path;
 };
 
-// The clocks of the process that wrote last to a folder, some minutes later. Those of `program` are not
-// known.
+// Returns the clocks of the process that last wrote to a folder, some minutes later. For `program` they are
+// unknown.
 inline lab::HandClock clockOfLast(const std::string& name) {
   lab::HandClock clock;
   clock.run = name == "program" ? "another run" : "4d9c1f3e-7a52-4d51-9f0e-2b8a6c1e7d10";
@@ -95,7 +97,7 @@
   return clock;
 }
 
-inline std::string exact(double value) {
+inline std::string exactDecimal(double value) {
   std::array<char, 32> text;
   std::snprintf(text.data(), text.size(), "%.17g", value);
   return text.data();
@@ -114,16 +116,16 @@
   std::string attempts;
   for (const RecordedAttempt& attempt : pending.ambiguousAttempts)
     attempts += (attempts.empty() ? "" : ",") + attempt.endpoint + "@" + std::to_string(attempt.zone) + "@" +
-                exact(attempt.sentWallMs) + "#" + std::to_string(attempt.attempt);
+                exactDecimal(attempt.sentWallMs) + "#" + std::to_string(attempt.attempt);
   const char* status = pending.status == FinalStatus::kFailed     ? "dead"
                        : pending.status == FinalStatus::kReturned ? "bounced"
                                                                   : "none";
-  return joined({"request", pending.id, orDash(pending.key), std::to_string(pending.classIndex),
-                 std::to_string(pending.tenant), std::to_string(pending.destination),
-                 exact(pending.deadlineWallMs), exact(pending.acceptedWallMs),
-                 pending.isRetry ? "retry" : "first", std::to_string(pending.attempts), status,
-                 exact(pending.retryAfterMs), digestOf(pending.body), orDash(attempts),
-                 std::to_string(recovered.segment)});
+  return joinFields({"request", pending.id, orDash(pending.key), std::to_string(pending.classIndex),
+                     std::to_string(pending.tenant), std::to_string(pending.destination),
+                     exactDecimal(pending.deadlineWallMs), exactDecimal(pending.acceptedWallMs),
+                     pending.isRetry ? "retry" : "first", std::to_string(pending.attempts), status,
+                     exactDecimal(pending.retryAfterMs), digestOf(pending.body), orDash(attempts),
+                     std::to_string(recovered.segment)});
 }
 
 inline Lines requestLines(const Recovered& found) {
@@ -133,31 +135,33 @@
   return lines;
 }
 
-// All that a reading of a folder found.
+// Formats everything that was recovered from a folder.
 inline Lines linesOf(const std::string& folder, const Recovered& found) {
   const auto text = [](std::uint64_t number) { return std::to_string(number); };
-  Lines lines = {joined({"folder", text(found.firstSegment), text(found.salt),
-                         text(found.convertedFingerprint), found.versionOne ? "version-1" : "segments",
-                         text(found.versionOneFingerprint), text(found.torn), text(found.madeAmbiguous),
-                         text(found.bodiesLost), text(found.records), text(found.pending.size())})};
+  Lines lines = {joinFields({"folder", text(found.firstSegment), text(found.salt),
+                             text(found.convertedFingerprint), found.versionOne ? "version-1" : "segments",
+                             text(found.versionOneFingerprint), text(found.torn), text(found.madeAmbiguous),
+                             text(found.bodiesLost), text(found.records), text(found.pending.size())})};
   for (const SegmentInfo& segment : found.segments) {
     const HeaderState header = readHeader(contentOf(folder + "/" + segmentName(segment.sequence)));
-    lines.push_back(joined({"segment", text(segment.sequence), text(header.version), text(segment.fileBytes),
-                            text(segment.validBytes), text(segment.headBytes), text(segment.records),
-                            exact(segment.createdWallMs), segment.headerGood ? "good" : "damaged",
-                            segment.named ? "named" : "unnamed", segment.stale ? "stale" : "needed"}));
+    lines.push_back(
+        joinFields({"segment", text(segment.sequence), text(header.version), text(segment.fileBytes),
+                    text(segment.validBytes), text(segment.headBytes), text(segment.records),
+                    exactDecimal(segment.createdWallMs), segment.headerGood ? "good" : "damaged",
+                    segment.named ? "named" : "unnamed", segment.stale ? "stale" : "needed"}));
   }
   Lines others;
-  for (const FileInfo& file : found.others) others.push_back(joined({"file", file.name, text(file.bytes)}));
+  for (const FileInfo& file : found.others)
+    others.push_back(joinFields({"file", file.name, text(file.bytes)}));
   std::sort(others.begin(), others.end());
   lines.insert(lines.end(), others.begin(), others.end());
   for (const NameTable& names : found.nameTables) {
     for (const ClassEntry& cls : names.classes)
-      lines.push_back(
-          joined({"class", cls.name, std::to_string(static_cast<int>(cls.idempotency)),
-                  std::to_string(static_cast<int>(cls.deduplicationScope)), exact(cls.idempotencyWindowMs)}));
-    for (const std::string& name : names.tenants) lines.push_back(joined({"tenant", name}));
-    for (const std::string& name : names.zones) lines.push_back(joined({"zone", name}));
+      lines.push_back(joinFields({"class", cls.name, std::to_string(static_cast<int>(cls.idempotency)),
+                                  std::to_string(static_cast<int>(cls.deduplicationScope)),
+                                  exactDecimal(cls.idempotencyWindowMs)}));
+    for (const std::string& name : names.tenants) lines.push_back(joinFields({"tenant", name}));
+    for (const std::string& name : names.zones) lines.push_back(joinFields({"zone", name}));
   }
   const Lines requests = requestLines(found);
   lines.insert(lines.end(), requests.begin(), requests.end());
@@ -165,27 +169,28 @@
 }
 
 inline std::string lineOf(const EndpointRecord& record) {
-  return joined({"endpoint", record.info.endpoint, record.address.text, std::to_string(record.info.zone),
-                 std::to_string(record.info.kind), std::to_string(record.info.destination),
-                 exact(record.info.rating),
-                 record.info.state == EndpointState::kDraining ? "draining" : "running",
-                 exact(record.announcedWallMs), exact(record.drainingSinceWallMs),
-                 record.announcedByDelta ? "change" : "complete", record.missing ? "missing" : "listed"});
+  return joinFields({"endpoint", record.info.endpoint, record.address.text, std::to_string(record.info.zone),
+                     std::to_string(record.info.kind), std::to_string(record.info.destination),
+                     exactDecimal(record.info.rating),
+                     record.info.state == EndpointState::kDraining ? "draining" : "running",
+                     exactDecimal(record.announcedWallMs), exactDecimal(record.drainingSinceWallMs),
+                     record.announcedByDelta ? "change" : "complete", record.missing ? "missing" : "listed"});
 }
 
-// All that a reading of the endpoint list found.
+// Formats everything that was read from the stored endpoint list.
 inline Lines linesOf(const CachedList& found) {
-  Lines lines = {joined({"list", std::to_string(found.list.revision), exact(found.confirmedAt.wallMs),
-                         exact(found.confirmedAt.machineMs), found.confirmedAt.machineRun,
-                         std::to_string(found.fileBytes), std::to_string(found.list.endpoints.size())})};
-  for (const std::string& name : found.names.zones) lines.push_back(joined({"zone", name}));
-  for (const std::string& name : found.names.kinds) lines.push_back(joined({"kind", name}));
+  Lines lines = {
+      joinFields({"list", std::to_string(found.list.revision), exactDecimal(found.confirmedAt.wallMs),
+                  exactDecimal(found.confirmedAt.machineMs), found.confirmedAt.machineRun,
+                  std::to_string(found.fileBytes), std::to_string(found.list.endpoints.size())})};
+  for (const std::string& name : found.names.zones) lines.push_back(joinFields({"zone", name}));
+  for (const std::string& name : found.names.kinds) lines.push_back(joinFields({"kind", name}));
   for (const EndpointRecord& endpoint : found.list.endpoints) lines.push_back(lineOf(endpoint));
   return lines;
 }
 
-// The names of the programs that wrote the folders, but for `program`.
-inline const NameTable kWriters{
+// The names in the settings of the programs that wrote the folders, except `program`.
+inline const NameTable kWriterNames{
     {{"status-update", Idempotency::kIdempotent, DeduplicationScope::kDestination, 0},
      {"caption-order", Idempotency::kIdempotentWithKey, DeduplicationScope::kZone, 5000},
      {"seat-hold", Idempotency::kIdempotentWithKey, DeduplicationScope::kDestination, 90000},
@@ -193,10 +198,11 @@
      {"billing-charge", Idempotency::kNonIdempotent, DeduplicationScope::kDestination, 0}},
     {"costa", "puerto", "sierra"},
     {"norte", "sur", "este"}};
-// A process that takes such a folder into service.
-struct Service {
-  Service(const std::string& folder, const lab::HandClock& clocks, const NameTable& names,
-          std::size_t maxSegments = 96)
+
+// Opens the journal of such a folder as a process would, and attaches all recovered requests.
+struct OpenedFolder {
+  OpenedFolder(const std::string& folder, const lab::HandClock& clocks, const NameTable& names,
+               std::size_t maxSegments = 96)
       : clock(clocks) {
     JournalOptions options{folder, 1200000, 16384, {}, "the test", 7};
     options.tuning.maxSegments = maxSegments;
@@ -217,7 +223,7 @@
   bool open = false;
 };
 
-// As the tools read a folder: numbers and times as they were recorded.
+// Recovers a folder as the tools do, with numbers and times as they were recorded.
 inline Recovered read(const std::string& folder) {
   PosixFiles files;
   auto found = recover(files, folder);
--- a/tests/journal/stored_state_test.cpp
+++ b/tests/journal/stored_state_test.cpp
@@ -1,5 +1,5 @@
-// The journals that the text of commit d274781 and earlier ones stored are read by this one. The expected
-// lines come from the programs that wrote the folders, see stored_state.h.
+// Compatibility with journals written by the program of commit d274781 and by earlier ones. The expected
+// lines were produced by the programs that wrote the folders; see stored_state.h.
 #include "tests/journal/stored_state.h"
 
 #include <doctest/doctest.h>
@@ -36,10 +36,10 @@
 
 constexpr std::array<const char*, 4> kFolders = {"version-1", "upgraded", "current", "program"};
 
-// The names in a folder, else those of the programs that went on with it.
+// Returns the name table in a folder, or that of the programs that continued it if it has none.
 NameTable namesIn(const std::string& name) {
-  const Recovered found = read((kStored / name).string());
-  return found.nameTables.empty() ? kWriters : found.nameTables.front();
+  const Recovered found = read((kStoredStates / name).string());
+  return found.nameTables.empty() ? kWriterNames : found.nameTables.front();
 }
 
 }  // namespace
@@ -47,19 +47,19 @@
 TEST_CASE("stored state: each folder is read as its writers left it") {
   for (const std::string name : kFolders) {
     CAPTURE(name);
-    const std::string folder = (kStored / name).string();
+    const std::string folder = (kStoredStates / name).string();
     checkSame(linesOf(folder, read(folder)), expectedLines(name + ".txt"));
   }
 }
 
 TEST_CASE("stored state: how many requests of each kind there are") {
-  CHECK((countsOf(read((kStored / "version-1").string())) ==
+  CHECK((countsOf(read((kStoredStates / "version-1").string())) ==
          Counts{{11, 10, 10, 10, 10}, {17, 17, 17}, {41, 6, 4}, 30, 5, 34, 51, 76, 11117}));
-  CHECK((countsOf(read((kStored / "upgraded").string())) ==
+  CHECK((countsOf(read((kStoredStates / "upgraded").string())) ==
          Counts{{42, 42, 40, 44, 43}, {69, 68, 74}, {143, 41, 27}, 126, 23, 158, 261, 383, 44209}));
-  CHECK((countsOf(read((kStored / "current").string())) ==
+  CHECK((countsOf(read((kStoredStates / "current").string())) ==
          Counts{{58, 60, 59, 60, 58}, {95, 100, 100}, {225, 43, 27}, 179, 29, 207, 332, 487, 55583}));
-  CHECK((countsOf(read((kStored / "program").string())) ==
+  CHECK((countsOf(read((kStoredStates / "program").string())) ==
          Counts{{34, 33, 33, 0, 0}, {50, 50, 0}, {63, 3, 34}, 100, 0, 17, 18, 165, 6730}));
 }
 
@@ -67,17 +67,18 @@
   for (const std::string name : kFolders) {
     CAPTURE(name);
     const StoredCopy copy(name.c_str());
-    // At the times of the last process; for the other folders those are the recorded ones.
+    // Times are converted to the clock of the last process. For the other folders they equal the recorded
+    // ones.
     const Lines expected = name == "current" ? expectedLines("current-served.txt")
                                              : withoutSegment(expectedLines(name + ".txt"));
-    Service service(copy.path, clockOfLast(name), namesIn(name));
+    OpenedFolder service(copy.path, clockOfLast(name), namesIn(name));
     REQUIRE_EQ(service.error, "");
     REQUIRE(service.open);
     CHECK(service.journal->writable());
     CHECK(service.found.corruptions.empty());
     CHECK_EQ(service.journal->statistics().faults, 0);
     checkSame(withoutSegment(requestLines(service.found)), expected);
-    // Nothing was lost by opening it, also for the next.
+    // Opening the folder lost nothing: a later recovery finds the same requests.
     checkSame(withoutSegment(requestLines(read(copy.path))), withoutSegment(expectedLines(name + ".txt")));
     CHECK_FALSE(std::filesystem::exists(copy.path + "/" + kVersionOneName));
   }
@@ -90,11 +91,11 @@
       const StoredCopy copy(name.c_str());
       lab::HandClock clock = clockOfLast(name);
       if (!sameRun) clock.run = "another run";
-      Service service(copy.path, clock, namesIn(name));
+      OpenedFolder service(copy.path, clock, namesIn(name));
       REQUIRE(service.open);
       std::size_t known = 0;
       for (const RecoveredRequest& request : service.found.pending) known += request.timesKnown;
-      // Of the upgraded folder, segments 7 to 9 have version 4.
+      // In the folder `upgraded` only segments 7 to 9 have version 4, and with it clock records.
       CHECK_EQ(known, !sameRun ? 0 : name == "upgraded" ? 60 : name == "current" ? 295 : 0);
       if (!sameRun)
         checkSame(withoutSegment(requestLines(service.found)), withoutSegment(expectedLines(name + ".txt")));
@@ -109,7 +110,7 @@
     Lines expected;
     std::uint64_t newest = 0;
     {
-      Service service(copy.path, clockOfLast(name), namesIn(name));
+      OpenedFolder service(copy.path, clockOfLast(name), namesIn(name));
       REQUIRE(service.open);
       for (RecoveredRequest& request : service.found.pending) {
         PendingRequest& pending = request.pending;
@@ -123,15 +124,15 @@
       newest = service.journal->newestSegment();
     }
     {
-      Service service(copy.path, clockOfLast(name), namesIn(name), 2);
+      OpenedFolder service(copy.path, clockOfLast(name), namesIn(name), 2);
       REQUIRE(service.open);
       checkSame(withoutSegment(requestLines(service.found)), expected);
       for (int i = 0; i < 100 && service.journal->wantsCompaction(); ++i)
         REQUIRE(service.journal->compactStep());
-      CHECK(service.journal->oldestSegment() > newest);  // all of the writers' segments are rewritten
+      CHECK(service.journal->oldestSegment() > newest);  // all earlier segments were rewritten
     }
     {
-      Service service(copy.path, clockOfLast(name), namesIn(name));
+      OpenedFolder service(copy.path, clockOfLast(name), namesIn(name));
       REQUIRE(service.open);
       CHECK(service.found.corruptions.empty());
       checkSame(withoutSegment(requestLines(service.found)), expected);
--- a/tests/journal/version_one_test.cpp
+++ b/tests/journal/version_one_test.cpp
@@ -1,4 +1,4 @@
-// The takeover of a folder of version 1.
+// Conversion of a journal of format version 1.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 namespace {
 
-Disk oldFolder() {
+Disk versionOneFolder() {
   VersionOne old;
   PendingRequest a = pendingRequest("a", 2), b = pendingRequest("b"), c = pendingRequest("c"),
                  d = pendingRequest("d", 2);
@@ -37,7 +37,7 @@
   return disk;
 }
 
-void checkOld(const Recovered& found) {
+void checkConverted(const Recovered& found) {
   REQUIRE(found.pending.size() == 3);
   const PendingRequest &a = found.pending.find("a")->pending, &b = found.pending.find("b")->pending,
                        &d = found.pending.find("d")->pending;
@@ -55,15 +55,15 @@
 TEST_CASE("a folder of version 1 is taken over, with a crash at any operation of it") {
   for (const std::size_t torn : {std::size_t{0}, std::size_t{50}, std::size_t{200}, std::size_t{100000}}) {
     for (std::uint64_t n = 1; n < 20; ++n) {
-      Disk disk = oldFolder();
+      Disk disk = versionOneFolder();
       {
         OpenedJournal opened(disk);
-        if (n == 1) checkOld(opened.found);
+        if (n == 1) checkConverted(opened.found);
         if (n == 1)
           CHECK(opened.log.str().find("converted from version 1, 3 requests pending") != std::string::npos);
       }
       CHECK(disk.files.count("/s/journal") == 0);
-      disk = oldFolder();
+      disk = versionOneFolder();
       for (int crashes = 0; crashes < 2; ++crashes) {
         FaultyFiles files(disk);
         files.crashAt(n, torn);
@@ -76,7 +76,7 @@
       CAPTURE(torn);
       OpenedJournal opened(disk);
       REQUIRE(opened.good);
-      checkOld(opened.found);
+      checkConverted(opened.found);
       CHECK(disk.files.count("/s/journal") == 0);
       CHECK(disk.files.count("/s/journal.new") == 0);
       CHECK(disk.files.count("/s/journal.takeover") == 0);
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE("a version 1 file that cannot be removed is not taken over again, however much came after") {
-  Disk disk = oldFolder();
+  Disk disk = versionOneFolder();
   for (int start = 0; start < 3; ++start) {
     HandClock clock;
     std::ostringstream log;
@@ -105,12 +105,12 @@
       REQUIRE(journal.recordCompleted(request));
       journal.compactStep();
     }
-    CHECK(journal.oldestSegment() > 1);  // the segment that took them over is gone
+    CHECK(journal.oldestSegment() > 1);  // the segment with the converted requests was deleted
   }
 }
 
 TEST_CASE("a version 1 file that cannot be taken over for want of space stays as it is") {
-  Disk disk = oldFolder();
+  Disk disk = versionOneFolder();
   const std::string before = disk.files["/s/journal"];
   disk.capacity = disk.used() + 100;
   {
@@ -123,13 +123,13 @@
   disk.capacity = 1000000;
   OpenedJournal opened(disk);
   REQUIRE(opened.good);
-  checkOld(opened.found);
+  checkConverted(opened.found);
 }
 
 TEST_CASE(
     "damage in a version 1 file: what stands before it comes back as ambiguous, and the bytes are "
     "quarantined") {
-  Disk disk = oldFolder();
+  Disk disk = versionOneFolder();
   const std::size_t hit = disk.files["/s/journal"].find("E1");
   disk.files["/s/journal"][hit] ^= 1;
   OpenedJournal opened(disk);
@@ -138,7 +138,7 @@
   for (const RecoveredRequest& request : opened.found.pending) {
     REQUIRE(!request.pending.ambiguousAttempts.empty());
     CHECK(request.pending.ambiguousAttempts[0].attempt == RecordedAttempt::kLostAttempt);
-    CHECK(request.pending.ambiguousAttempts[0].sentWallMs == 0);  // when it was accepted did not stand in it
+    CHECK(request.pending.ambiguousAttempts[0].sentWallMs == 0);  // version 1 had no time of acceptance
   }
   CHECK(std::any_of(disk.files.begin(), disk.files.end(),
                     [](const auto& f) { return f.first.starts_with("/s/damaged-v1-"); }));
--- a/tests/journal/version_one_writer.h
+++ b/tests/journal/version_one_writer.h
@@ -1,4 +1,5 @@
-// The bytes of a journal of version 1, one file of records, as programs before segments wrote it.
+// Encodes a journal of format version 1: a single file of records, as programs before the introduction of
+// segments wrote it.
 #pragma once
 
 #include <zlib.h>
@@ -10,7 +11,7 @@
 
 namespace myrtleloft::testing {
 
-// The old form: frames of length and CRC-32 in one file, texts behind 32-bit lengths.
+// Frames consist of a length, a CRC-32 and the payload. Strings are preceded by their 32-bit length.
 class VersionOne {
  public:
   void accepted(const PendingRequest& request) {
