--- a/src/journal/folder_reader.cpp
+++ b/src/journal/folder_reader.cpp
@@ -69,7 +69,7 @@
   if (state.kind == HeaderState::Kind::kNewer)
     return JournalError{{"read", file, 0},
                         file + " has format version " + std::to_string(state.version) +
-                            "; this program knows none above " + std::to_string(kJournalVersion)};
+                            "; this program supports versions up to " + std::to_string(kJournalVersion)};
   const SegmentHeader& header = state.header;
   segment.headerGood = state.kind == HeaderState::Kind::kGood;
   segment.createdWallMs = header.createdWallMs;
--- a/src/journal/journal_opening.cpp
+++ b/src/journal/journal_opening.cpp
@@ -128,7 +128,7 @@
   }
   const JournalOptions& options = parts_.options;
   const std::string path = options.path(kTakeoverName);
-  const FileError failure{"take over the journal of version 1 in", options.folder, ENOSPC};
+  const FileError failure{"convert the journal of version 1 in", options.folder, ENOSPC};
   if (parts_.writer.used() + roundUpToBlocks(bytes.size()) > options.diskBytes) return failure;
   auto file = parts_.files.create(path);
   std::optional<FileError> error;
--- a/tests/journal/version_one_test.cpp
+++ b/tests/journal/version_one_test.cpp
@@ -116,7 +116,7 @@
   {
     OpenedJournal opened(disk);
     CHECK_FALSE(opened.good);
-    CHECK(opened.error.find("cannot take over") != std::string::npos);
+    CHECK(opened.error.find("cannot convert") != std::string::npos);
   }
   CHECK(disk.files["/s/journal"] == before);
   CHECK(disk.files.count("/s/journal.takeover") == 0);
