--- a/tests/journal/compaction_test.cpp
+++ b/tests/journal/compaction_test.cpp
@@ -15,7 +15,7 @@
 using lab::FaultyFiles;
 using lab::HandClock;
 
-TEST_CASE("a compaction step ends when its time is up, however many bytes it might still rewrite") {
+TEST_CASE("a compaction step ends at its time limit, even if its byte limit is not reached") {
   struct SlowClock : HandClock {
     double steadyMs() const override {
       return const_cast<SlowClock*>(this)->nowMs += 0.4;
--- a/tests/journal/corruption_test.cpp
+++ b/tests/journal/corruption_test.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("a flipped bit at any of 500 places: no request that was attempted looks as if it had not been") {
+TEST_CASE("after a flipped bit at any of 500 positions, no attempt is silently lost") {
   Disk undamaged;
   ExpectedState expected;
   {
@@ -108,7 +108,7 @@
   }
   CHECK(recovered > 2 * 500 * 50);  // records after the damage are read
 }
-TEST_CASE("a record in a client's body is never read as one of the journal's") {
+TEST_CASE("a journal record inside a request body is never recovered as a record") {
   Disk disk;
   std::string forged;
   const std::size_t at = openFrame(forged);
@@ -129,7 +129,7 @@
   CHECK(opened.found.corruptions.size() == 1);
 }
 
-TEST_CASE("damaged bytes are quarantined within their part of the disk, and the oldest go first") {
+TEST_CASE("quarantined bytes stay within their limits, and the oldest files are deleted first") {
   Disk disk;
   constexpr std::size_t kLimit = 250000;
   std::deque<PendingRequest> requests;
--- a/tests/journal/group_commit_test.cpp
+++ b/tests/journal/group_commit_test.cpp
@@ -19,8 +19,7 @@
 using lab::FaultyFiles;
 using lab::HandClock;
 
-TEST_CASE(
-    "group commit: one sync covers many records, and after a loss of power all that was promised is there") {
+TEST_CASE("group commit: one sync covers many records, and durable records survive a power loss") {
   Disk disk;
   FaultyFiles files(disk);
   lab::HandSyncer syncer(files);
@@ -75,7 +74,7 @@
 }
 
 TEST_CASE(
-    "group commit: after a failed sync nothing is promised until all that is pending is in another file") {
+    "group commit: after a failed sync nothing is durable until all pending requests are in another file") {
   Disk disk;
   FaultyFiles files(disk);
   lab::HandSyncer syncer(files);
@@ -190,7 +189,8 @@
 
 // Guards against a journal that never accepts requests again after a failed sync on a nearly full disk. There
 // is space to rewrite the uncertain records only once older segments are deleted, and that requires a sync.
-TEST_CASE("group commit: after a failed sync on a nearly full disk it accepts again, and loses nothing") {
+TEST_CASE(
+    "group commit: after a failed sync on a nearly full disk, requests are accepted again and none is lost") {
   constexpr int kNoSecondFault = -1;
   for (int secondFault = kNoSecondFault; secondFault < 12; ++secondFault) {
     CAPTURE(secondFault);
--- a/tests/journal/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-TEST_CASE("without faults, the journal stays within its limit, is compacted, and is read back as it was") {
+TEST_CASE(
+    "without faults, the journal stays within its disk budget, is compacted, and is recovered unchanged") {
   for (const std::uint32_t seed : {1u, 2u, 3u}) {
     for (const std::size_t limit : {kSmallDisk, std::size_t{1000000}}) {
       Disk disk;
@@ -57,7 +58,9 @@
 
 // Crashes at the n-th disk operation for every n, until a run ends before its crash. This covers all
 // operations, including those added later.
-TEST_CASE("a crash at each operation, torn at each kind of place, loses nothing and repeats nothing") {
+TEST_CASE(
+    "a crash at any disk operation, with torn writes of several lengths, neither loses nor repeats a "
+    "request") {
   std::uint64_t points = 0;
   for (const std::size_t torn : {std::size_t{0}, std::size_t{1}, std::size_t{5}, std::size_t{11},
                                  std::size_t{13}, std::size_t{40}, std::size_t{143}, std::size_t{100000}}) {
@@ -86,7 +89,7 @@
   CHECK(points > 1000);
 }
 
-TEST_CASE("a crash during recovery, and during the recovery from that") {
+TEST_CASE("a crash during recovery, and another during the next recovery") {
   for (std::uint64_t first = 5; first < 300; first += 13) {
     for (std::uint64_t second = 1; second < 6; ++second) {
       Disk disk;
@@ -110,7 +113,8 @@
 }
 
 TEST_CASE(
-    "while the disk refuses, new requests are rejected and pending ones go on; afterwards it accepts again") {
+    "while disk operations fail, new requests are rejected and pending ones continue; afterwards requests "
+    "are accepted again") {
   for (const int error : {ENOSPC, EIO, EDQUOT, EROFS}) {
     for (std::uint64_t n = 1; n < 400; n += 3) {
       Disk disk;
@@ -147,7 +151,7 @@
   }
 }
 
-TEST_CASE("an id that comes again before the completion of its predecessor is recorded is rejected") {
+TEST_CASE("a request is rejected while the completion of an earlier request with the same id is unrecorded") {
   Disk disk;
   {
     FaultyFiles files(disk);
--- a/tests/journal/journal_tool_test.cpp
+++ b/tests/journal/journal_tool_test.cpp
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST_CASE("journal inspect, verify, dump and compact know the names") {
+TEST_CASE("journal inspect, verify, dump and compact support name tables") {
   const Folder folder;
   folder.writeRequest("charge", "a");
   folder.writeRequest("charge", "b");
@@ -73,7 +73,7 @@
   CHECK_EQ(folder.run("verify", out), kExitSuccess);
 }
 
-TEST_CASE("journal compact leaves a folder of more than one configuration to the relay") {
+TEST_CASE("journal compact refuses a folder with records of more than one configuration") {
   for (const char* first : {"charge", ""}) {
     const Folder folder;
     folder.writeRequest(first, "a");
--- a/tests/journal/lost_records_test.cpp
+++ b/tests/journal/lost_records_test.cpp
@@ -13,7 +13,8 @@
 using lab::Disk;
 using lab::FaultyFiles;
 
-TEST_CASE("a lost attempt comes back as an ambiguous one, unless what follows shows that none is missing") {
+TEST_CASE(
+    "a lost attempt is recovered as an ambiguous one, unless later records prove that none is missing") {
   Disk disk;
   std::size_t hit = 0;
   {
@@ -62,7 +63,7 @@
   }
 }
 
-TEST_CASE("damage at the very end of the log is still known at the second start, and at the third") {
+TEST_CASE("damage at the end of the log is still detected at the second and third start") {
   enum class How { kFlipped, kCutInside, kCutBetween };
   for (const How how : {How::kFlipped, How::kCutInside, How::kCutBetween}) {
     Disk disk;
@@ -90,7 +91,9 @@
   }
 }
 
-TEST_CASE("a missing or cut segment is reported, and what it may have contained becomes ambiguous") {
+TEST_CASE(
+    "a missing or truncated segment is reported, and requests that may have had records in it become "
+    "ambiguous") {
   for (const bool cut : {false, true}) {
     Disk disk;
     PendingRequest first = pendingRequest("first");
--- a/tests/journal/name_table_corruption_test.cpp
+++ b/tests/journal/name_table_corruption_test.cpp
@@ -12,7 +12,7 @@
 using namespace myrtleloft;
 using namespace myrtleloft::testing;
 
-TEST_CASE("restarts without anything recorded leave one segment, names and all") {
+TEST_CASE("restarts without any record leave a single segment") {
   Disk disk;
   for (int start = 0; start < 5; ++start) {
     Opened opened(disk, start % 2 == 0 ? kOriginalNames : kReorderedNames);
@@ -21,7 +21,9 @@
   }
 }
 
-TEST_CASE("names damaged: the other copy counts; with both gone, nothing of the segment is sent") {
+TEST_CASE(
+    "a damaged name table is read from its other copy; with both damaged, no request of the segment is "
+    "sent") {
   Disk undamaged;
   writeRequests(undamaged, kOriginalNames);
   const std::string path = "/s/" + segmentName(1);
@@ -46,7 +48,8 @@
     CHECK_FALSE(mayContinue(request.pending, request.permission, settingsOf(kOriginalNames), {2000, 0, 0}));
 }
 
-TEST_CASE("a crash at each operation while another configuration takes the folder on loses no meaning") {
+TEST_CASE(
+    "a crash at any operation while another configuration opens the folder does not confuse the numbers") {
   Disk undamaged;
   writeRequests(undamaged, kOriginalNames);
   for (int at = 1; at < 40; ++at) {
@@ -78,7 +81,7 @@
   }
 }
 
-TEST_CASE("names as long as the settings may have them: the disk's bound holds") {
+TEST_CASE("with name tables of the largest permitted size, the disk budget holds") {
   NameTable large = kOriginalNames;
   while (Journal::headBytes(large) < 62500 / 32 - 100)
     large.tenants.push_back("tenant-" + std::to_string(large.tenants.size()));
@@ -102,7 +105,8 @@
 }
 
 TEST_CASE(
-    "a file of version 1 is taken over into a segment with names: its numbers mean what they mean now") {
+    "a version 1 file is converted to a segment with a name table: its numbers are those of the current "
+    "settings") {
   VersionOne old;
   old.accepted(pending("a", 2));
   old.attempt("a", {"E1", 1, 1000, 0});
--- a/tests/journal/name_table_test.cpp
+++ b/tests/journal/name_table_test.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-TEST_CASE("classes, tenants and zones are found again by name, whatever their numbers are now") {
+TEST_CASE("classes, tenants and zones are translated by name to their current numbers") {
   Disk disk;
   writeRequests(disk, kOriginalNames);
   // The second start also reads segments that the first one wrote.
@@ -63,7 +63,8 @@
 }
 
 TEST_CASE(
-    "two configurations in turn on one folder: each attempt counts under the names it was recorded by") {
+    "two configurations in turn on one folder: each attempt is translated by the names it was recorded "
+    "with") {
   Disk disk;
   writeRequests(disk, kOriginalNames);
   {
@@ -85,7 +86,8 @@
 }
 
 TEST_CASE(
-    "a folder left by another deployment: nothing of it is sent, whatever its numbers would mean here") {
+    "no request from a folder of another deployment is sent, even if its numbers exist in the current "
+    "settings") {
   Disk disk;
   writeRequests(disk, kOriginalNames);
   const NameTable other{
@@ -108,7 +110,7 @@
     CHECK_FALSE(mayContinue(request.pending, request.permission, settingsOf(tenants), {2000, 0, 0}));
 }
 
-TEST_CASE("a class of the same name with another meaning: what may have run goes on only as both allow") {
+TEST_CASE("a class whose settings changed: an ambiguous request continues only if both settings permit it") {
   const auto loose = classEntry("x", Idempotency::kIdempotent),
              once = classEntry("x", Idempotency::kNonIdempotent);
   const auto keyed = classEntry("x", Idempotency::kIdempotentWithKey),
@@ -131,7 +133,7 @@
   CHECK_FALSE(mayContinueAfterChange(shorter, keyed, "k", &sentMs, -1000));  // the wall clock was set back
 }
 
-TEST_CASE("the shorter of two idempotency windows outlasts a rewriting") {
+TEST_CASE("the shorter of two idempotency windows still applies after compaction") {
   Disk disk;
   const NameTable then{
       {classEntry("x", Idempotency::kIdempotentWithKey, DeduplicationScope::kDestination, 1000)}, {}, {}},
@@ -164,7 +166,7 @@
   }
 }
 
-TEST_CASE("a folder without names is taken over: its numbers mean what they mean now") {
+TEST_CASE("a folder without name tables is opened with the numbers of the current settings") {
   Disk disk;
   writeRequests(disk, {});
   for (const auto& [path, bytes] : disk.files)
--- a/tests/journal/opening_test.cpp
+++ b/tests/journal/opening_test.cpp
@@ -15,7 +15,7 @@
 using lab::FaultyFiles;
 using lab::HandClock;
 
-TEST_CASE("a second process, a newer version or an unreadable folder is rejected, and nothing is changed") {
+TEST_CASE("a locked folder, a newer version or an unreadable folder is rejected without any change") {
   Disk disk;
   {
     OpenedJournal opened(disk);
--- a/tests/journal/pending_table_test.cpp
+++ b/tests/journal/pending_table_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace myrtleloft;
 
-TEST_CASE("the table of pending requests has what a map would, and gives all of it out once") {
+TEST_CASE("the table of pending requests behaves like a map, and take returns each request once") {
   CHECK(rc::check("as a std::map", [] {
     PendingTable table;
     std::map<std::string, int> model;
--- a/tests/journal/planner_test.cpp
+++ b/tests/journal/planner_test.cpp
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-TEST_CASE("whatever was admitted can be completed, and rewritten, inside the limit") {
+TEST_CASE("all admitted requests can be completed and rewritten within the disk budget") {
   const bool holds = rc::check([] {
     const JournalPlanner planner;
     const auto disk = *rc::gen::inRange<std::size_t>(62500, 3000000);
@@ -117,7 +117,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("however much is to stay free, no round copies what is live for next to nothing") {
+TEST_CASE("with any free share, no compaction pass copies all live records for a negligible gain") {
   JournalTuning tuning;
   tuning.freeShare = 1;
   const JournalPlanner planner(tuning);
@@ -134,7 +134,7 @@
   CHECK(planner.stepBytes(usage) > 0);
 }
 
-TEST_CASE("compaction ends: with nothing to win back there is no step") {
+TEST_CASE("compaction stops when it cannot free any space") {
   const bool holds = rc::check([] {
     const JournalPlanner planner;
     const auto disk = *rc::gen::inRange<std::size_t>(62500, 3000000);
@@ -162,7 +162,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("each record reads back as it was written, and its size is known beforehand") {
+TEST_CASE("each record is decoded as it was encoded, and encodedSize predicts its size") {
   const bool holds = rc::check([](const std::string& id, const std::string& key, const std::string& body) {
     PendingRequest request;
     request.id = id;
@@ -195,7 +195,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("whatever the bytes, a reading ends, and only frames of this folder are records") {
+TEST_CASE("scanning arbitrary bytes terminates, and finds only frames with this folder's salt") {
   const bool holds = rc::check([](const std::string& noise, std::uint64_t salt) {
     std::string bytes = encodeHeader({1, salt, 0, 1, 0, 0}) + noise;
     const std::size_t at = openFrame(bytes);
--- a/tests/journal/stored_files_test.cpp
+++ b/tests/journal/stored_files_test.cpp
@@ -14,7 +14,7 @@
 using namespace myrtleloft;
 using namespace myrtleloft::testing;
 
-TEST_CASE("stored state: the lock file is locked, and names whoever holds it") {
+TEST_CASE("stored state: the lock file is locked, and identifies the process that holds it") {
   const StoredCopy copy("current");
   const std::string path = copy.path + "/journal.lock";
   CHECK_EQ(contentOf(path), "pid 4103, relay n3\n");
@@ -37,7 +37,7 @@
   CHECK_EQ(contentOf(path), "the test\n");
 }
 
-TEST_CASE("stored state: the endpoint list is read as its writer left it") {
+TEST_CASE("stored state: the endpoint list is read as it was written") {
   PosixFiles files;
   for (const std::string name : {"current", "program"}) {
     CAPTURE(name);
@@ -56,7 +56,7 @@
   }
 }
 
-TEST_CASE("stored state: zones and kinds of the endpoint list are found again by name") {
+TEST_CASE("stored state: zones and kinds of the endpoint list are translated by name") {
   PosixFiles files;
   const IndexNames names{{"este", "norte"}, {"other", "large"}};  // "sur" is missing
   const CachedList found = readCachedList(files, (kStoredStates / "current").string(), &names);
@@ -78,7 +78,7 @@
   CHECK_EQ(found.unknownNames, gone);
 }
 
-TEST_CASE("stored state: the incarnation is counted on") {
+TEST_CASE("stored state: the incarnation continues from the stored one") {
   const StoredCopy copy("current");
   PosixFiles files;
   lab::CountedShare share;
--- a/tests/journal/stored_names_test.cpp
+++ b/tests/journal/stored_names_test.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("stored state: classes, tenants and zones are found again by name") {
+TEST_CASE("stored state: classes, tenants and zones are translated by name") {
   const std::array<const char*, 5> classes = {"3", "2", "-1", "1", "0"};
   const std::array<const char*, 3> tenants = {"1", "-1", "0"}, zones = {"1", "-2", "0"};
   Lines expected;
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("stored state: what has no names keeps its numbers, whatever the names are now") {
+TEST_CASE("stored state: requests recorded without a name table keep their numbers") {
   for (const std::string name : {"version-1", "upgraded"}) {
     const StoredCopy copy(name.c_str());
     const OpenedFolder service(copy.path, clockOfLast(name), kOtherNames);
--- a/tests/journal/stored_state_test.cpp
+++ b/tests/journal/stored_state_test.cpp
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE("stored state: each folder is read as its writers left it") {
+TEST_CASE("stored state: each folder is read as it was written") {
   for (const std::string name : kFolders) {
     CAPTURE(name);
     const std::string folder = (kStoredStates / name).string();
@@ -52,7 +52,7 @@
   }
 }
 
-TEST_CASE("stored state: how many requests of each kind there are") {
+TEST_CASE("stored state: the number of requests of each kind") {
   CHECK((countsOf(read((kStoredStates / "version-1").string())) ==
          Counts{{11, 10, 10, 10, 10}, {17, 17, 17}, {41, 6, 4}, 30, 5, 34, 51, 76, 11117}));
   CHECK((countsOf(read((kStoredStates / "upgraded").string())) ==
@@ -63,7 +63,7 @@
          Counts{{34, 33, 33, 0, 0}, {50, 50, 0}, {63, 3, 34}, 100, 0, 17, 18, 165, 6730}));
 }
 
-TEST_CASE("stored state: a process takes each folder into service and finds the same") {
+TEST_CASE("stored state: opening each folder recovers the same requests") {
   for (const std::string name : kFolders) {
     CAPTURE(name);
     const StoredCopy copy(name.c_str());
@@ -84,7 +84,8 @@
   }
 }
 
-TEST_CASE("stored state: times are known where a segment has the clock, within the same run of the machine") {
+TEST_CASE(
+    "stored state: times are known for segments with a clock record from the same boot of the machine") {
   for (const bool sameRun : {true, false}) {
     for (const std::string name : kFolders) {
       CAPTURE(name);
@@ -103,7 +104,7 @@
   }
 }
 
-TEST_CASE("stored state: further attempts, compaction and ends go on where the writers stopped") {
+TEST_CASE("stored state: further attempts, compaction and completions continue the stored journal") {
   for (const std::string name : kFolders) {
     CAPTURE(name);
     const StoredCopy copy(name.c_str());
--- a/tests/journal/version_one_test.cpp
+++ b/tests/journal/version_one_test.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-TEST_CASE("a folder of version 1 is taken over, with a crash at any operation of it") {
+TEST_CASE("a version 1 folder is converted, even with a crash at any operation of the conversion") {
   for (const std::size_t torn : {std::size_t{0}, std::size_t{50}, std::size_t{200}, std::size_t{100000}}) {
     for (std::uint64_t n = 1; n < 20; ++n) {
       Disk disk = versionOneFolder();
@@ -84,7 +84,7 @@
   }
 }
 
-TEST_CASE("a version 1 file that cannot be removed is not taken over again, however much came after") {
+TEST_CASE("a version 1 file that cannot be deleted is not converted again, even after many other records") {
   Disk disk = versionOneFolder();
   for (int start = 0; start < 3; ++start) {
     HandClock clock;
@@ -109,7 +109,7 @@
   }
 }
 
-TEST_CASE("a version 1 file that cannot be taken over for want of space stays as it is") {
+TEST_CASE("a version 1 file that cannot be converted for lack of space is left unchanged") {
   Disk disk = versionOneFolder();
   const std::string before = disk.files["/s/journal"];
   disk.capacity = disk.used() + 100;
@@ -127,7 +127,7 @@
 }
 
 TEST_CASE(
-    "damage in a version 1 file: what stands before it comes back as ambiguous, and the bytes are "
+    "damage in a version 1 file: requests recorded before it become ambiguous, and the bytes are "
     "quarantined") {
   Disk disk = versionOneFolder();
   const std::size_t hit = disk.files["/s/journal"].find("E1");
