--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -8,10 +8,11 @@
 namespace myrtleloft::json {
 namespace {
 
-constexpr std::size_t kDeepest = 32;  // nesting that is followed
+constexpr std::size_t kMaxDepth = 32;  // levels of nesting below the outermost array or object
 
+// Returns the text of the value as a number, or std::nullopt if there is no value or it is not such a number.
 template <typename T>
-std::optional<T> converted(const Value* value) {
+std::optional<T> convertedNumber(const Value* value) {
   T number{};
   if (!value) return std::nullopt;
   const char* end = value->text.data() + value->text.size();
@@ -20,11 +21,11 @@
   return number;
 }
 
-// Builds the tree from nlohmann's events. Its own tree would keep the last of two members of one name, and
-// numbers not as they were written.
+// Builds the tree from the events of nlohmann's parser. The library's own tree type would silently keep only
+// the last of several members of the same name, and would not keep floating-point numbers as written.
 class Builder : public nlohmann::json_sax<nlohmann::json> {
  public:
-  Builder(Value& root, std::string& error) : next_(&root), error_(error) {}
+  Builder(Value& root, std::string& error) : target_(&root), error_(error) {}
 
   bool null() override { return scalar(Value::Type::kNull, "null"); }
   bool boolean(bool value) override { return scalar(Value::Type::kBool, value ? "true" : "false"); }
@@ -39,69 +40,71 @@
   }
   bool string(string_t& value) override { return scalar(Value::Type::kString, std::move(value)); }
   bool binary(binary_t&) override { return false; }
-  bool start_object(std::size_t) override { return begin(Value::Type::kObject); }
+  bool start_object(std::size_t) override { return openContainer(Value::Type::kObject); }
   bool key(string_t& name) override {
-    auto& members = open_.back()->members;
+    auto& members = openContainers_.back()->members;
     members.push_back({std::move(name), Value()});
-    next_ = &members.back().value;
+    target_ = &members.back().value;
     return true;
   }
   bool end_object() override {
     std::vector<std::string_view> names;
-    for (const auto& member : open_.back()->members) names.push_back(member.name);
+    for (const auto& member : openContainers_.back()->members) names.push_back(member.name);
     std::sort(names.begin(), names.end());
-    const auto twice = std::adjacent_find(names.begin(), names.end());
-    if (twice != names.end()) return refuse("the name '" + std::string(*twice) + "' stands twice");
-    return end();
+    const auto duplicate = std::adjacent_find(names.begin(), names.end());
+    if (duplicate != names.end()) return fail("duplicate name '" + std::string(*duplicate) + "'");
+    return closeContainer();
   }
-  bool start_array(std::size_t) override { return begin(Value::Type::kArray); }
-  bool end_array() override { return end(); }
-  bool parse_error(std::size_t at, const std::string&, const nlohmann::detail::exception& fault) override {
-    // "[json.exception.parse_error.101] parse error at line 1, column 5: syntax error while ..."
-    const std::string_view what = fault.what();
-    const std::size_t begins = what.find("] ");
-    error_ = std::string(begins == what.npos ? what : what.substr(begins + 2)) + " (byte " +
+  bool start_array(std::size_t) override { return openContainer(Value::Type::kArray); }
+  bool end_array() override { return closeContainer(); }
+  bool parse_error(std::size_t at, const std::string&, const nlohmann::detail::exception& failure) override {
+    // Drops the prefix of messages such as
+    // "[json.exception.parse_error.101] parse error at line 1, column 5: syntax error while ...".
+    const std::string_view what = failure.what();
+    const std::size_t prefixEnd = what.find("] ");
+    error_ = std::string(prefixEnd == what.npos ? what : what.substr(prefixEnd + 2)) + " (byte " +
              std::to_string(at) + ")";
     return false;
   }
 
  private:
-  bool refuse(std::string why) {
-    error_ = std::move(why);
+  bool fail(std::string message) {
+    error_ = std::move(message);
     return false;
   }
-  // Where the value that comes now belongs.
-  Value& place() {
-    if (!open_.empty() && open_.back()->type == Value::Type::kArray)
-      return open_.back()->items.emplace_back();
-    return *next_;
+  // Returns the place for the next value: a new array element, the current member, or the root.
+  Value& nextValue() {
+    if (!openContainers_.empty() && openContainers_.back()->type == Value::Type::kArray)
+      return openContainers_.back()->items.emplace_back();
+    return *target_;
   }
   bool scalar(Value::Type type, std::string text) {
-    Value& value = place();
+    Value& value = nextValue();
     value.type = type;
     value.text = std::move(text);
     return true;
   }
-  bool begin(Value::Type type) {
-    if (open_.size() > kDeepest) return refuse("nested too deep");
-    Value& value = place();
+  bool openContainer(Value::Type type) {
+    if (openContainers_.size() > kMaxDepth) return fail("nested too deeply");
+    Value& value = nextValue();
     value.type = type;
-    open_.push_back(&value);
+    openContainers_.push_back(&value);
     return true;
   }
-  bool end() {
-    open_.pop_back();
+  bool closeContainer() {
+    openContainers_.pop_back();
     return true;
   }
 
-  // An open value stays where it is: its siblings come only after its end.
-  std::vector<Value*> open_;
-  Value* next_;
+  // The arrays and objects that are not complete yet, from the outermost to the innermost. The pointers stay
+  // valid because siblings, which may cause a reallocation, are added only after a container is complete.
+  std::vector<Value*> openContainers_;
+  Value* target_;  // the value of the current member, or the root
   std::string& error_;
 };
 
-// The text, and how far the parser has come in it.
-class Counted {
+// Iterator over the text that also stores how far the parser has read.
+class CountingIterator {
  public:
   using iterator_category = std::input_iterator_tag;
   using value_type = char;
@@ -109,19 +112,19 @@
   using pointer = const char*;
   using reference = const char&;
 
-  Counted(const char*& read, const char* at) : read_(&read), at_(at) {}
+  CountingIterator(const char*& read, const char* at) : read_(&read), at_(at) {}
   reference operator*() const { return *at_; }
-  Counted& operator++() {
+  CountingIterator& operator++() {
     *read_ = ++at_;
     return *this;
   }
-  Counted operator++(int) {
-    const Counted before = *this;
+  CountingIterator operator++(int) {
+    const CountingIterator before = *this;
     ++*this;
     return before;
   }
-  bool operator==(const Counted& other) const { return at_ == other.at_; }
-  bool operator!=(const Counted& other) const { return at_ != other.at_; }
+  bool operator==(const CountingIterator& other) const { return at_ == other.at_; }
+  bool operator!=(const CountingIterator& other) const { return at_ != other.at_; }
 
  private:
   const char** read_;
@@ -142,7 +145,7 @@
 }
 
 std::optional<double> Value::asNumber() const {
-  return type == Type::kNumber ? converted<double>(this) : std::nullopt;
+  return type == Type::kNumber ? convertedNumber<double>(this) : std::nullopt;
 }
 
 std::optional<std::string> Value::string(std::string_view name) const {
@@ -150,11 +153,11 @@
   return value ? std::optional(value->text) : std::nullopt;
 }
 std::optional<double> Value::number(std::string_view name) const {
-  const auto value = converted<double>(find(name, Type::kNumber));
+  const auto value = convertedNumber<double>(find(name, Type::kNumber));
   return value && std::isfinite(*value) ? value : std::nullopt;
 }
 std::optional<std::int64_t> Value::integer(std::string_view name) const {
-  return converted<std::int64_t>(find(name, Type::kNumber));
+  return convertedNumber<std::int64_t>(find(name, Type::kNumber));
 }
 std::optional<bool> Value::boolean(std::string_view name) const {
   const Value* value = find(name, Type::kBool);
@@ -172,7 +175,8 @@
   Value root;
   Builder builder(root, error);
   const char* read = text.data();
-  if (nlohmann::json::sax_parse(Counted(read, read), Counted(read, text.data() + text.size()), &builder))
+  if (nlohmann::json::sax_parse(CountingIterator(read, read),
+                                CountingIterator(read, text.data() + text.size()), &builder))
     return root;
   at = static_cast<std::size_t>(read - text.data());
   at -= std::min<std::size_t>(at, 1);
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -1,5 +1,12 @@
-// JSON (RFC 8259) read strictly, by nlohmann's library: no name twice in an object, no half surrogates, no
-// bytes that are not UTF-8, nested 32 deep at most. And the one bit of writing that the relay needs.
+// A strict JSON parser (RFC 8259) on top of the nlohmann library. It rejects duplicate names in an object,
+// unpaired surrogates, invalid UTF-8 and deep nesting. Also encodes JSON strings, the only output that the
+// relay needs.
+//
+//   std::string error;
+//   const std::optional<json::Value> value = json::parse(text, error);
+//   if (!value) ... error ...   // e.g. "duplicate name 'id'"
+//
+// Thread-safe. Cost: O(text); looking up a member is O(members of the object).
 #pragma once
 
 #include <cstdint>
@@ -12,36 +19,40 @@
 
 struct Member;
 
+// A JSON value, with its elements or members.
 struct Value {
   enum class Type { kNull, kBool, kNumber, kString, kArray, kObject };
   Type type = Type::kNull;
-  std::string text;  // a string's content; a number, true or false as written
-  std::vector<Value> items;
-  std::vector<Member> members;  // in the order of the text
+  std::string text;             // a string's unescaped content; a number, `true`, `false` or `null` as text
+  std::vector<Value> items;     // elements of an array
+  std::vector<Member> members;  // members of an object, in the order of the text
 
-  // The member of that name; nullptr: none.
+  // Returns the value of the member of this name, or nullptr if there is none.
   const Value* find(std::string_view name) const;
-  // And of that type.
+  // As above, but also returns nullptr if the value is of another type.
   const Value* find(std::string_view name, Type wanted) const;
+  // Each of these returns the value of the member of this name, or std::nullopt if there is none, or if its
+  // value is of another type or out of range.
   std::optional<std::string> string(std::string_view name) const;
   std::optional<double> number(std::string_view name) const;
   std::optional<std::int64_t> integer(std::string_view name) const;
   std::optional<bool> boolean(std::string_view name) const;
-  // What it is itself, where it is a number that a double can hold.
+  // Returns this value as a number, or std::nullopt if it is not a number or out of the range of a double.
   std::optional<double> asNumber() const;
 };
 
-// One name of an object, and its value.
+// A member of an object.
 struct Member {
   std::string name;
   Value value;
 };
 
-// On failure nothing, and in `error` what is wrong and where.
+// Returns std::nullopt if `text` is not valid JSON, with the reason in `error`.
 std::optional<Value> parse(std::string_view text, std::string& error);
-// And in `at` the byte at which the reading stopped: of a name that stands twice, the end of its object.
+// As above; on failure, `at` is the offset of the byte at which the parser stopped. For a duplicate name,
+// this is the end of the object.
 std::optional<Value> parse(std::string_view text, std::string& error, std::size_t& at);
-// The text as a JSON string, quotes included; what is not UTF-8 becomes replacement characters.
+// Returns the text as a JSON string with quotes. Invalid UTF-8 becomes replacement characters.
 std::string quote(std::string_view text);
 
 }  // namespace myrtleloft::json
--- a/tests/config/config_faults_test.cpp
+++ b/tests/config/config_faults_test.cpp
@@ -52,7 +52,7 @@
   CHECK(has(faultOf("\"limits\": {\"maxOpen\"", "\"limits\" {\"maxOpen\""),
             "BALANCER_CONFIG: parse error at line 10, column 14: syntax error"));
   CHECK(has(faultOf("\"azs\"", "\"machineTypes\""),
-            "BALANCER_CONFIG: the name 'machineTypes' stands twice (line 17, column 3)"));
+            "BALANCER_CONFIG: duplicate name 'machineTypes' (line 17, column 3)"));
   CHECK_EQ(faultOf(kValid, "[]"), "BALANCER_CONFIG: not an object (line 1, column 1)");
   CHECK(has(faultOf(kValid, ""), "BALANCER_CONFIG: parse error at line 1, column 1"));
 }
--- a/tests/discovery/list_reader_test.cpp
+++ b/tests/discovery/list_reader_test.cpp
@@ -86,9 +86,9 @@
   CHECK(fault(begin + entry("a")) == "targets[1]: the answer ends before it does");
   CHECK(fault(begin + entry("a") + "]").find("parse error") != std::string::npos);
   CHECK(fault(begin + entry("a") + "]} x").find("parse error") != std::string::npos);
-  CHECK(fault(begin + entry("a", R"(,"uid":"z")") + "]}") == "targets[0]: the name 'uid' stands twice");
-  CHECK(fault(begin + entry("a") + R"(],"targets":[]})") == "the name 'targets' stands twice");
-  CHECK(fault(begin + entry("a") + R"(],"t\u0061rgets":[]})") == "the name 'targets' stands twice");
+  CHECK(fault(begin + entry("a", R"(,"uid":"z")") + "]}") == "targets[0]: duplicate name 'uid'");
+  CHECK(fault(begin + entry("a") + R"(],"targets":[]})") == "duplicate name 'targets'");
+  CHECK(fault(begin + entry("a") + R"(],"t\u0061rgets":[]})") == "duplicate name 'targets'");
   CHECK(fault("{\"rev\":1,\"all\":true}") == "targets");
   CHECK(fault("") != "");
   const std::string longest(ListReader::kMaxEntryBytes, 'x');
--- a/tests/integration/relay_test.cpp
+++ b/tests/integration/relay_test.cpp
@@ -90,7 +90,7 @@
     CHECK_FALSE(json::parse(bad, error));
   CHECK_FALSE(json::parse(std::string(100, '['), error));
   CHECK_FALSE(json::parse("{\"a\":{\"b\":1,\"c\":[2],\"b\":3}}", error));
-  CHECK(error.find("'b' stands twice") != std::string::npos);
+  CHECK(error.find("duplicate name 'b'") != std::string::npos);
   CHECK_FALSE(json::parse("[1,\n 2,, 3]", error));
   CHECK(error.find("line 2, column 4") != std::string::npos);
   CHECK_FALSE(json::parse("\"\xff\"", error));  // no UTF-8
