--- a/src/json/json.h
+++ b/src/json/json.h
@@ -1,6 +1,6 @@
 // A strict JSON parser (RFC 8259) on top of the nlohmann library. It rejects duplicate names in an object,
-// unpaired surrogates, invalid UTF-8 and deep nesting. Also encodes JSON strings, the only output that the
-// relay needs.
+// unpaired surrogates, invalid UTF-8, and nesting of more than 32 levels below the outermost value. Also
+// encodes JSON strings, the only output that the relay needs.
 //
 //   std::string error;
 //   const std::optional<json::Value> value = json::parse(text, error);
