--- a/tests/journal/planner_test.cpp
+++ b/tests/journal/planner_test.cpp
@@ -1,4 +1,5 @@
-// The planner against its promises, under loads that RapidCheck chooses; and records against their bytes.
+// Checks the planner's guarantees, and the encoding of records and segments, with random input from
+// RapidCheck.
 #include "journal/planner.h"
 
 #include <doctest/doctest.h>
@@ -18,7 +19,7 @@
 
 namespace {
 
-// A journal without bytes: sizes only, one list of live records per segment.
+// A model of a journal that has only the sizes of segments and of their live records.
 struct Model {
   struct Segment {
     std::size_t bytes = 0;
@@ -60,7 +61,7 @@
 
 }  // namespace
 
-TEST_CASE("whatever was admitted can be completed, and rewritten, inside the limit") {
+TEST_CASE("all admitted requests can be completed and rewritten within the disk budget") {
   const bool holds = rc::check([] {
     const JournalPlanner planner;
     const auto disk = *rc::gen::inRange<std::size_t>(62500, 3000000);
@@ -85,17 +86,17 @@
         model.reserved -= planner.tuning().perRequestReserve;
         model.append(60);
       }
-      // All reserves used up at once, in the smallest of pieces, without any compaction.
+      // The worst case: all reserves are used at once, in small records, without any compaction.
       Model worst = model;
       for (std::size_t left = model.reserved; left > 0; left -= std::min<std::size_t>(left, 128))
         worst.append(std::min<std::size_t>(left, 128));
       RC_ASSERT(worst.usage().used <= disk);
-      // And still the oldest segment can be rewritten before it goes.
+      // Even then the oldest segment can be rewritten before it is deleted.
       if (worst.segments.size() > 1) {
         for (const std::size_t live : worst.segments.front().live) worst.append(live);
         RC_ASSERT(worst.usage().used <= disk);
       }
-      // Steps, as the journal runs them.
+      // A compaction step, as in the journal.
       std::size_t most = planner.stepBytes(model.usage());
       model.since = 0;
       while (most > 0 && model.segments.size() > 1) {
@@ -116,7 +117,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("however much is to stay free, no round copies what is live for next to nothing") {
+TEST_CASE("with any free share, no compaction pass copies all live records for a negligible gain") {
   JournalTuning tuning;
   tuning.freeShare = 1;
   const JournalPlanner planner(tuning);
@@ -133,7 +134,7 @@
   CHECK(planner.stepBytes(usage) > 0);
 }
 
-TEST_CASE("compaction ends: with nothing to win back there is no step") {
+TEST_CASE("compaction stops when it cannot free any space") {
   const bool holds = rc::check([] {
     const JournalPlanner planner;
     const auto disk = *rc::gen::inRange<std::size_t>(62500, 3000000);
@@ -146,7 +147,7 @@
       model.segments.back().live.push_back(700);
       model.reserved += planner.tuning().perRequestReserve;
     }
-    // The space for requests is no smaller than the 35% of the disk that version 1 had.
+    // The space for requests is at least 35% of the disk budget, as in version 1.
     RC_ASSERT(model.usage().live + model.reserved >= disk * 35 / 100);
     std::size_t steps = 0;
     while (planner.stepBytes(model.usage()) > 0 && model.segments.size() > 1) {
@@ -161,7 +162,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("each record reads back as it was written, and its size is known beforehand") {
+TEST_CASE("each record is decoded as it was encoded, and encodedSize predicts its size") {
   const bool holds = rc::check([](const std::string& id, const std::string& key, const std::string& body) {
     PendingRequest request;
     request.id = id;
@@ -186,7 +187,7 @@
     RC_ASSERT(back.status == request.status && back.attempts == request.attempts &&
               back.isRetry == request.isRetry);
     RC_ASSERT(back.ambiguousAttempts.size() == request.ambiguousAttempts.size());
-    // Cut anywhere, or with a byte behind it, it is none.
+    // A truncated record, or one followed by another byte, is invalid.
     for (std::size_t size = 0; size < bytes.size(); ++size)
       RC_ASSERT(!decode(std::string_view(bytes).substr(0, size)));
     RC_ASSERT(!decode(bytes + "x"));
@@ -194,7 +195,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("whatever the bytes, a reading ends, and only frames of this folder are records") {
+TEST_CASE("scanning arbitrary bytes terminates, and finds only frames with this folder's salt") {
   const bool holds = rc::check([](const std::string& noise, std::uint64_t salt) {
     std::string bytes = encodeHeader({1, salt, 0, 1, 0, 0}) + noise;
     const std::size_t at = openFrame(bytes);
