--- a/src/quota/quota_admission.cpp
+++ b/src/quota/quota_admission.cpp
@@ -18,12 +18,12 @@
   shape.maxActiveWindows = static_cast<std::size_t>(plan.maxActiveWindows);
   std::map<std::string_view, int> indexOf;
   for (const QuotaPlan::Node& node : plan.nodes) {
-    QuotaShape::Node& made = shape.nodes.emplace_back();
-    made.name = node.name;
-    made.parent = node.parent.empty() ? -1 : indexOf.at(node.parent);
+    QuotaShape::Node& shapeNode = shape.nodes.emplace_back();
+    shapeNode.name = node.name;
+    shapeNode.parent = node.parent.empty() ? -1 : indexOf.at(node.parent);
     indexOf.emplace(node.name, static_cast<int>(shape.nodes.size()) - 1);
-    const auto limit = [&](Measure measure, std::size_t window, std::uint64_t most) {
-      if (most > 0) made.limits.push_back({measure, window, most});
+    const auto limit = [&](Measure measure, std::size_t window, std::uint64_t max) {
+      if (max > 0) shapeNode.limits.push_back({measure, window, max});
     };
     for (std::size_t w = 0; w < node.messages.size(); ++w)
       limit(Measure::kMessages, w, static_cast<std::uint64_t>(node.messages[w]));
@@ -40,7 +40,7 @@
                                const std::vector<double>& worths, const Parts& parts)
     : parts_(parts), tree_(shapeOf(plan)), tenants_(tenants.size()) {
   for (const double worth : worths) worthMicro_.push_back(microOf(worth));
-  std::vector<int> owner(plan.nodes.size(), -1);  // index of the tenant; -1: of none here
+  std::vector<int> owner(plan.nodes.size(), -1);  // index of the tenant; -1 if it is not listed
   for (std::size_t i = 0; i < plan.nodes.size(); ++i) {
     const QuotaPlan::Node& node = plan.nodes[i];
     const int at = static_cast<int>(i), parent = tree_.shape().nodes[i].parent;
@@ -63,19 +63,19 @@
 
 int QuotaAdmission::leafOf(int tenant, std::string_view unit) const {
   if (static_cast<std::size_t>(tenant) >= tenants_.size()) return kNoQuota;
-  const Tenant& of = tenants_[static_cast<std::size_t>(tenant)];
-  const auto at = unit.empty() ? of.units.end() : of.units.find(unit);
-  if (at != of.units.end()) return at->second;
-  return of.rest != kNoQuota ? of.rest : of.own;
+  const Tenant& entry = tenants_[static_cast<std::size_t>(tenant)];
+  const auto at = unit.empty() ? entry.units.end() : entry.units.find(unit);
+  if (at != entry.units.end()) return at->second;
+  return entry.rest != kNoQuota ? entry.rest : entry.own;
 }
 
-// A call is asked for too, though it comes later: where the calls of a window are used up, a request more
-// would bring another.
+// One call is included in the check although it is made later: if the calls of a window are used up, a
+// further request would exceed them.
 std::optional<double> QuotaAdmission::rejects(int leaf, int cls, double nowMs) {
   if (leaf == kNoQuota) return std::nullopt;
-  Amount wanted = amountOf(cls);
-  wanted.add(kCall);
-  const auto rejection = tree_.rejects(leaf, wanted, nowMs);
+  Amount requested = amountOf(cls);
+  requested.add(kCall);
+  const auto rejection = tree_.rejects(leaf, requested, nowMs);
   if (!rejection) return std::nullopt;
   ++parts_.counters.failFastQuota;
   const double spanMs = tree_.shape().spansMs[rejection->window];
@@ -85,9 +85,9 @@
   const auto seconds = static_cast<std::int64_t>(spanMs / 1000);
   parts_.log.repeated(
       nowMs, LogLevel::kInfo, "quota.refused",
-      "quota: " + node + " has no room in its " + what + " of " + std::to_string(seconds) + " s",
+      "quota: " + node + " has reached its limit of " + what + " in " + std::to_string(seconds) + " s",
       {{"node", node}, {"measure", what}, {"window_s", seconds}});
-  // One that never fits is told the longest that the window could take.
+  // For a request that can never fit, the span of the window is returned.
   return std::isfinite(rejection->retryAfterMs) ? rejection->retryAfterMs : spanMs;
 }
 
--- a/src/quota/quota_admission.h
+++ b/src/quota/quota_admission.h
@@ -1,16 +1,17 @@
-// Whether a request may come in, by the operator's quotas: which node it belongs to, and whether every level
-// from there to the root has room. Refuses, counts and logs; the tree reckons.
+// Decides by the operator's quotas whether a request may be accepted: it finds the quota node that the
+// request belongs to, and checks the limits of that node and all its ancestors. QuotaTree does the
+// accounting; this class maps requests to nodes, counts rejections and logs them.
 //
-//   QuotaAdmission door(plan, tenants, worths, {counters, log});
-//   const int leaf = door.leafOf(tenant, unit);             // kNoQuota: none is about it
-//   if (const auto waitMs = door.refuses(leaf, cls, nowMs)) ... refused, come back in *waitMs
-//   door.chargeRequest(leaf, cls, nowMs); door.chargeCall(leaf, nowMs);
+//   QuotaAdmission quotas(plan, tenants, worths, {counters, log});
+//   const int leaf = quotas.leafOf(tenant, unit);           // kNoQuota if no quota applies
+//   if (const auto waitMs = quotas.rejects(leaf, cls, nowMs)) ... rejected, retry after *waitMs
+//   quotas.chargeRequest(leaf, cls, nowMs); quotas.chargeCall(leaf, nowMs);
 //
-// What is taken in is charged in messages and worth, and each call in calls, at every level. Nobody is called
-// less for a quota: a request that was taken in goes its way, and its calls only keep later ones out.
+// An accepted request is charged in messages and worth, and each call in calls, at every level. Quotas never
+// delay or prevent calls of accepted requests; calls only count against later requests.
 //
-// Without nodes it is off, and each function does nothing. One thread; costs as QuotaTree, and a look-up of
-// the unit's name.
+// Without nodes, quotas are disabled and each function does nothing. To be used from one thread. The cost is
+// that of QuotaTree, plus a lookup of the unit's name.
 #pragma once
 
 #include <cstddef>
@@ -36,23 +37,24 @@
     Log log;
   };
 
-  // `tenants`, `worths`: by index of the tenant and of the class. Tenants that are not among them have no
-  // requests, and their nodes nothing to do.
+  // `tenants` are indexed by tenant, `worths` by class. Nodes of tenants that are not listed are ignored,
+  // because such tenants have no requests.
   QuotaAdmission(const QuotaPlan& plan, const std::vector<std::string>& tenants,
                  const std::vector<double>& worths, const Parts& parts);
 
   bool enabled() const { return !tree_.shape().nodes.empty(); }
-  // The node of that unit, else the tenant's node for the rest, else the tenant's own.
+  // Returns the node of that unit, else the tenant's node for all other units, else the tenant's own node,
+  // else kNoQuota.
   int leafOf(int tenant, std::string_view unit) const;
-  // When to come back, in ms.
+  // Returns the milliseconds after which to retry if the request is rejected, and std::nullopt otherwise.
   std::optional<double> rejects(int leaf, int cls, double nowMs);
   void chargeRequest(int leaf, int cls, double nowMs) { tree_.charge(leaf, amountOf(cls), nowMs); }
-  // It was refused after all.
+  // Takes the charge of `whenMs` back, because the request was rejected for another reason.
   void refundRequest(int leaf, int cls, double whenMs, double nowMs) {
     tree_.refund(leaf, amountOf(cls), whenMs, nowMs);
   }
   void chargeCall(int leaf, double nowMs) { tree_.charge(leaf, kCall, nowMs); }
-  // It never left, or the endpoint said that it did not count.
+  // Takes the charge of `whenMs` back, because the call is known not executed.
   void refundCall(int leaf, double whenMs, double nowMs) { tree_.refund(leaf, kCall, whenMs, nowMs); }
   const QuotaTree& tree() const { return tree_; }
 
--- a/src/quota/quota_plan.h
+++ b/src/quota/quota_plan.h
@@ -1,4 +1,4 @@
-// Quotas as the operator writes them, read and checked by config/operator_file.h.
+// The quotas of the operator's file, read and validated by config/operator_file.h.
 #pragma once
 
 #include <cstdint>
@@ -7,20 +7,20 @@
 
 namespace myrtleloft {
 
-// docs/operators/quotas.md says what each means.
+// The settings are documented in docs/operators/quotas.md.
 struct QuotaPlan {
   struct Node {
-    std::string name, parent;  // of a tenant's node, `parent` is empty
-    std::string tenant;        // whose it is; of a node below one, empty
-    std::string unit;          // what the header says of its requests; empty: it has none of its own
-    bool rest = false;         // its requests are those of its tenant that no other node has
-    std::vector<std::int64_t> messages, calls;  // most in each window; 0, or not there: no limit
-    std::vector<double> worth;
+    std::string name, parent;  // `parent` is empty for the root node of a tenant
+    std::string tenant;        // only of a root node
+    std::string unit;          // the value of the unit header for this node; empty if it has no unit
+    bool rest = false;         // for all requests of the tenant that no other node covers
+    std::vector<std::int64_t> messages, calls;  // limits by window; 0 or missing means unlimited
+    std::vector<double> worth;                  // likewise
   };
   std::vector<std::int64_t> windowsS;
-  std::string header;                 // that names the unit; empty: none
-  std::int64_t maxActiveWindows = 0;  // windows in use at once; 0: as many as fit an eighth of memory_mb
-  std::vector<Node> nodes;            // each behind its parent
+  std::string header;                 // the header that names the unit; empty if units are not used
+  std::int64_t maxActiveWindows = 0;  // windows in use at once; 0: as many as fit into an eighth of memory_mb
+  std::vector<Node> nodes;            // each after its parent
 };
 
 }  // namespace myrtleloft
--- a/src/quota/quota_tree.h
+++ b/src/quota/quota_tree.h
@@ -1,19 +1,20 @@
-// Limits nested within limits: an institution's, within it a faculty's, and so on. Without I/O: times are
-// passed in.
+// Hierarchical quotas: limits of a node, for example a faculty, apply within those of its parent, for example
+// an institution. No I/O; times are passed in.
 //
 //   QuotaTree tree(shape);
-//   if (const auto refusal = tree.refuses(leaf, one, nowMs)) ... 429, come back in refusal->retryAfterMs
-//   tree.charge(leaf, one, nowMs);                          // at the leaf and all above it
-//   tree.refund(leaf, call, whenMs, nowMs);               // it was proven not to have counted
+//   if (const auto rejection = tree.rejects(leaf, one, nowMs)) ... 429, retry after rejection->retryAfterMs
+//   tree.charge(leaf, one, nowMs);           // charges the leaf and all its ancestors
+//   tree.refund(leaf, call, whenMs, nowMs);  // the call of `whenMs` is known not executed
 //
-// `rejects` asks every limit from the leaf to the root, `charge` never refuses: calls are decided elsewhere,
-// and are charged all the same. So messages and worth are not passed in any window, and calls as far as new
-// messages bring them.
+// `rejects` checks all limits from the leaf to the root. `charge` never fails, because calls are decided
+// elsewhere and must be charged in any case. So the limits of messages and worth are never exceeded in any
+// window. The limits of calls can be exceeded by repeated calls for accepted messages, but not by accepting
+// new messages.
 //
-// Windows stand in a pool, one for each limited window of a node that has used something within it. A node
-// that uses nothing has none and costs nothing; a few of the pool's windows are looked at with each charge,
-// and given back where all has slid out. Where the pool is used up, nodes that need another are refused until
-// one is free. Nothing is allocated after the constructor. One thread; O(depth x limits).
+// The windows are allocated from a pool, one for each limited window of a node with recent usage. A node
+// without usage occupies none. Each charge checks a few windows of the pool and returns those without
+// remaining usage. If the pool is exhausted, nodes that need a further window are rejected until one is free.
+// Nothing is allocated after construction. To be used from one thread; O(depth x limits).
 #pragma once
 
 #include <cstddef>
@@ -30,14 +31,14 @@
   struct Limit {
     Measure measure = Measure::kMessages;
     std::size_t window = 0;  // index in `spansMs`
-    std::uint64_t most = 0;  // as in Amount
+    std::uint64_t max = 0;   // in the unit of Amount
   };
   struct Node {
     std::string name;
-    int parent = -1;  // index in `nodes`, before this one; -1: none above it
+    int parent = -1;  // smaller index in `nodes`, or -1 for a root
     std::vector<Limit> limits;
   };
-  std::vector<double> spansMs;  // of the windows
+  std::vector<double> spansMs;  // spans of the windows
   std::vector<Node> nodes;
   std::size_t maxActiveWindows = 65536;  // windows in use at once
 };
@@ -45,65 +46,67 @@
 class QuotaTree {
  public:
   struct Rejection {
-    int node = 0;  // the level that has room last
+    int node = 0;  // the level whose limit requires the longest wait
     std::size_t window = 0;
     Measure measure = Measure::kMessages;
-    double retryAfterMs = 0;  // more than 0; infinite: it never fits
-    bool poolFull = false;    // then it is the pool that has none for the node
+    double retryAfterMs = 0;  // greater than 0; infinite if the amount can never fit
+    bool poolFull = false;    // rejected because the pool of windows is exhausted
   };
 
-  // Each node behind its parent, each limit over a window that there is.
+  // In the shape, each node must come after its parent, and each limit must refer to an existing window.
   explicit QuotaTree(QuotaShape shape);
 
-  // Nothing: it fits at every level.
+  // Returns std::nullopt if the amount fits at every level, and the rejection with the longest wait
+  // otherwise.
   std::optional<Rejection> rejects(int leaf, const Amount& amount, double nowMs);
   void charge(int leaf, const Amount& amount, double nowMs);
   void refund(int leaf, const Amount& amount, double whenMs, double nowMs);
-  // Of a node, in one of its limited windows.
+  // Returns what a node has used in one of its limited windows.
   Amount used(int node, std::size_t window, double nowMs);
-  // Windows in use.
+  // Returns the number of windows in use.
   std::size_t activeWindows() const { return pool_.size() - free_.size(); }
-  // Charges that found no window free, and are counted at fewer levels than they should be. `rejects` sees to
-  // it that these are calls only, of messages whose windows have slid out since.
+  // Returns the number of charges that were not counted at a level because the pool was exhausted. Because of
+  // `rejects`, this happens only for calls of messages whose own usage has expired since.
   std::uint64_t uncounted() const { return uncounted_; }
   const QuotaShape& shape() const { return shape_; }
 
  private:
   static constexpr std::uint32_t kNone = static_cast<std::uint32_t>(-1);
-  struct Place {  // a node's window that some limit is about
+  struct WindowSlot {  // a window of a node to which a limit applies
     std::size_t window = 0;
     std::uint32_t pooled = kNone;
   };
   struct Level {
-    std::uint32_t firstPlace = 0, places = 0, firstLimit = 0, limits = 0;
+    std::uint32_t firstSlot = 0, slots = 0, firstLimit = 0, limits = 0;
     int parent = -1;
   };
-  struct Bound {  // a limit, with its place
+  struct Bound {  // a limit, with the index of its window slot
     Measure measure = Measure::kMessages;
-    std::uint32_t place = 0;
-    std::uint64_t most = 0;
+    std::uint32_t slot = 0;
+    std::uint64_t max = 0;
   };
   struct Pooled {
     SlidingWindow window;
-    std::uint32_t place = kNone;  // whose it is; kNone: free
+    std::uint32_t slot = kNone;  // the slot that uses the window, or kNone
   };
 
  public:
-  static constexpr std::size_t kWindowBytes = sizeof(Pooled) + sizeof(std::uint32_t);  // one of the pool
+  static constexpr std::size_t kWindowBytes =
+      sizeof(Pooled) + sizeof(std::uint32_t);  // memory of one pooled window
 
  private:
-  SlidingWindow* windowOf(const Place& place);
-  void wake(std::uint32_t place);
-  // Looks at the next few of the pool.
+  SlidingWindow* windowOf(const WindowSlot& slot);
+  void acquireWindow(std::uint32_t slot);
+  // Checks the next few windows of the pool and frees those without usage.
   void sweep(double nowMs);
 
   QuotaShape shape_;
   std::vector<Level> levels_;
-  std::vector<Place> places_;
+  std::vector<WindowSlot> slots_;
   std::vector<Bound> bounds_;
   std::vector<Pooled> pool_;
   std::vector<std::uint32_t> free_;
-  std::size_t hand_ = 0;
+  std::size_t sweepIndex_ = 0;
   std::uint64_t uncounted_ = 0;
 };
 
--- a/src/quota/sliding_window.h
+++ b/src/quota/sliding_window.h
@@ -1,17 +1,18 @@
-// What was used in a window that slides: counts by fiftieths of its span.
+// Usage within a sliding time window, counted in 50 buckets per span.
 //
 //   SlidingWindow minute(60e3);
 //   minute.add(nowMs, amount);
-//   if (minute.used(nowMs).of(Measure::kCalls) + 1 > most) ... minute.roomInMs(nowMs, Measure::kCalls, 1,
-//   most)
+//   if (minute.used(nowMs).of(Measure::kCalls) + 1 > max)
+//     ... retry after minute.waitForCapacityMs(nowMs, Measure::kCalls, 1, max)
 //
-// What it says is never less than what was used in the span up to now, and never more than what was used in
-// that and the fiftieth of a span before it: over every position of the window, whatever the clumps, a limit
-// held by it is not passed, and room that has come back is seen at most a fiftieth of the span late.
+// The reported usage is at least what was used in the span up to now, and at most what was used in that span
+// plus one bucket before it. So a limit that is checked against it holds for every position of the window,
+// whatever the bursts, and capacity becomes available at most one bucket (a fiftieth of the span) late.
 //
-// Whole numbers, so that what is added and taken away again leaves nothing behind. Times are a steady
-// clock's, in ms from any start not after the first use; one that runs back counts as standing still.
-// Constant memory; O(1), and O(kParts) after a rest and in `roomInMs`. One thread.
+// Amounts are integers, so that adding and refunding leave no rounding error. Times are milliseconds on a
+// steady clock with any origin before the first use; a time that runs backwards is treated as unchanged.
+// Constant memory; O(1), but O(kBuckets) after a pause and in `waitForCapacityMs`. To be used from one
+// thread.
 #pragma once
 
 #include <algorithm>
@@ -26,17 +27,17 @@
 enum class Measure { kMessages, kWorth, kCalls };
 constexpr std::size_t kMeasures = 3;
 
-// Of each measure: messages and calls as they are, worth in millionths.
+// An amount of each measure: numbers of messages and calls, and worth in millionths.
 struct Amount {
   std::array<std::uint64_t, kMeasures> counts{};
 
   std::uint64_t of(Measure measure) const { return counts[static_cast<std::size_t>(measure)]; }
   std::uint64_t& of(Measure measure) { return counts[static_cast<std::size_t>(measure)]; }
-  bool none() const { return counts == decltype(counts){}; }
+  bool isZero() const { return counts == decltype(counts){}; }
   void add(const Amount& other) {
     for (std::size_t m = 0; m < kMeasures; ++m) counts[m] += other.counts[m];
   }
-  // At least 0 of each.
+  // Each measure stops at 0.
   void subtract(const Amount& other) {
     for (std::size_t m = 0; m < kMeasures; ++m) counts[m] -= std::min(counts[m], other.counts[m]);
   }
@@ -44,68 +45,68 @@
 
 class SlidingWindow {
  public:
-  static constexpr std::int64_t kParts = 50;
+  static constexpr std::int64_t kBuckets = 50;
 
-  explicit SlidingWindow(double spanMs) : partMs_(spanMs / kParts) {}
+  explicit SlidingWindow(double spanMs) : bucketMs_(spanMs / kBuckets) {}
 
   void add(double nowMs, const Amount& amount) {
     advance(nowMs);
-    slot(now_).add(amount);
+    amountAt(current_).add(amount);
     used_.add(amount);
   }
-  // Of what was added at `whenMs`; what has slid out since is gone already.
+  // Takes back an amount that was added at `whenMs`. Does nothing if it has already left the window.
   void refund(double nowMs, double whenMs, const Amount& amount) {
     advance(nowMs);
-    const std::int64_t part = partOf(whenMs);
-    if (part < now_ - kParts || part > now_) return;
-    Amount gone = amount;
+    const std::int64_t bucket = bucketOf(whenMs);
+    if (bucket < current_ - kBuckets || bucket > current_) return;
+    Amount refunded = amount;
     for (std::size_t m = 0; m < kMeasures; ++m)
-      gone.counts[m] = std::min(gone.counts[m], slot(part).counts[m]);
-    slot(part).subtract(gone);
-    used_.subtract(gone);
+      refunded.counts[m] = std::min(refunded.counts[m], amountAt(bucket).counts[m]);
+    amountAt(bucket).subtract(refunded);
+    used_.subtract(refunded);
   }
   const Amount& used(double nowMs) {
     advance(nowMs);
     return used_;
   }
-  // In how many ms so much more will fit under `most`, if nothing is used until then; 0: now; infinite:
-  // never.
-  double roomInMs(double nowMs, Measure measure, std::uint64_t more, std::uint64_t most) {
+  // Returns the milliseconds until `added` fits under `max` if nothing else is used until then: 0 if it fits
+  // now, infinity if it never will.
+  double waitForCapacityMs(double nowMs, Measure measure, std::uint64_t added, std::uint64_t max) {
     advance(nowMs);
-    if (more > most) return std::numeric_limits<double>::infinity();
-    std::uint64_t left = used_.of(measure);
-    if (left + more <= most) return 0;
-    std::int64_t part = now_ - kParts;
-    while (part < now_ && (left -= slot(part).of(measure)) + more > most) ++part;
-    // It is out once the part that begins a whole span and a part later has begun.
-    return std::max(0.0, static_cast<double>(part + kParts + 1) * partMs_ - nowMs);
+    if (added > max) return std::numeric_limits<double>::infinity();
+    std::uint64_t remaining = used_.of(measure);
+    if (remaining + added <= max) return 0;
+    std::int64_t bucket = current_ - kBuckets;
+    while (bucket < current_ && (remaining -= amountAt(bucket).of(measure)) + added > max) ++bucket;
+    // A bucket leaves the window when the bucket that begins a span and a bucket later becomes current.
+    return std::max(0.0, static_cast<double>(bucket + kBuckets + 1) * bucketMs_ - nowMs);
   }
 
  private:
-  std::int64_t partOf(double ms) const { return static_cast<std::int64_t>(std::floor(ms / partMs_)); }
-  Amount& slot(std::int64_t part) {
-    const std::int64_t at = part % (kParts + 1);
-    return slots_[static_cast<std::size_t>(at < 0 ? at + kParts + 1 : at)];
+  std::int64_t bucketOf(double ms) const { return static_cast<std::int64_t>(std::floor(ms / bucketMs_)); }
+  Amount& amountAt(std::int64_t bucket) {
+    const std::int64_t at = bucket % (kBuckets + 1);
+    return buckets_[static_cast<std::size_t>(at < 0 ? at + kBuckets + 1 : at)];
   }
   void advance(double nowMs) {
-    const std::int64_t to = std::max(now_, partOf(nowMs));
-    if (to - now_ > kParts) {
-      slots_ = {};
+    const std::int64_t target = std::max(current_, bucketOf(nowMs));
+    if (target - current_ > kBuckets) {
+      buckets_ = {};
       used_ = {};
     } else {
-      while (now_ < to) {
-        Amount& oldest = slot(++now_);  // the place of what slides out
+      while (current_ < target) {
+        Amount& oldest = amountAt(++current_);  // reuses the bucket that leaves the window
         used_.subtract(oldest);
         oldest = {};
       }
     }
-    now_ = to;
+    current_ = target;
   }
 
-  double partMs_;
-  std::int64_t now_ = 0;  // the part that now is in
+  double bucketMs_;
+  std::int64_t current_ = 0;  // the bucket that contains the latest time
   Amount used_;
-  std::array<Amount, kParts + 1> slots_{};
+  std::array<Amount, kBuckets + 1> buckets_{};
 };
 
 }  // namespace myrtleloft
--- a/tests/exchange/quota_charges_test.cpp
+++ b/tests/exchange/quota_charges_test.cpp
@@ -51,7 +51,7 @@
   CHECK(site.lastRetryAfterMs > 59000);
   CHECK(site.lastRetryAfterMs <= 61200);
   CHECK(site.counters.failFastQuota == 1);
-  CHECK(site.log.str().find("quota: univ has no room in its calls of 60 s") != std::string::npos);
+  CHECK(site.log.str().find("quota: univ has reached its limit of calls in 60 s") != std::string::npos);
   CHECK((used(site) == Used{2, 2000000, 2}));
 }
 
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,4 +1,4 @@
-// Quotas against a reference that keeps every event, over random trees, traces and window positions.
+// Quotas compared with a reference that keeps every event, for random trees, traces and window positions.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -21,7 +21,7 @@
   return {{messages, worthMicro, calls}};
 }
 
-// All that was ever charged, and the sums of it.
+// Reference: keeps all charges and computes sums from them.
 struct Ledger {
   struct Entry {
     double atMs = 0;
@@ -30,7 +30,7 @@
   };
   std::vector<Entry> entries;
 
-  // Of a node and all below it, in (toMs - spanMs, toMs].
+  // Returns the usage of a node and its descendants in (toMs - spanMs, toMs].
   Amount sum(const QuotaShape& shape, int node, double toMs, double spanMs) const {
     Amount total;
     for (const Entry& entry : entries) {
@@ -42,7 +42,7 @@
   }
 };
 
-// Three levels at most, limits of each measure over each window here and there.
+// Returns a random tree in which some nodes have limits of some measures over some windows.
 QuotaShape drawnShape(std::mt19937_64& random) {
   QuotaShape shape;
   shape.spansMs = {2000, 10000, 60000};
@@ -60,7 +60,7 @@
   return shape;
 }
 
-// Mostly a trickle, at times a clump, at times nothing for long, at times on a window's very edge.
+// Returns mostly short gaps, sometimes none, a long one, or one that ends at the edge of a bucket.
 double drawnGapMs(std::mt19937_64& random) {
   switch (random() % 8) {
     case 0:
@@ -77,7 +77,7 @@
 }  // namespace
 
 TEST_CASE(
-    "a sliding window says no less than was used in its span, and no more than a fiftieth of it longer") {
+    "a sliding window reports at least the usage of its span, and at most that of a span a fiftieth longer") {
   CHECK(rc::check("for every position", [](std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const double spanMs = 1 + static_cast<double>(random() % 100000);
@@ -99,9 +99,9 @@
         RC_ASSERT(window.used(nowMs).counts[m] >= least.counts[m]);
         RC_ASSERT(window.used(nowMs).counts[m] <= most.counts[m]);
       }
-      // When there is room, and not before.
+      // The amount fits after the reported wait, and not before.
       const std::uint64_t limit = 1 + random() % 30;
-      const double inMs = window.roomInMs(nowMs, Measure::kMessages, 1, limit);
+      const double inMs = window.waitForCapacityMs(nowMs, Measure::kMessages, 1, limit);
       SlidingWindow then = window, before = window;
       RC_ASSERT(then.used(nowMs + inMs + spanMs * 1e-6).of(Measure::kMessages) + 1 <= limit);
       if (inMs > 0) RC_ASSERT(before.used(nowMs + inMs - spanMs * 1e-6).of(Measure::kMessages) + 1 > limit);
@@ -109,8 +109,7 @@
   }));
 }
 
-TEST_CASE(
-    "no level of a tree passes a limit over any window position, and none refuses what fits everywhere") {
+TEST_CASE("no level exceeds a limit over any window position, and nothing that fits everywhere is rejected") {
   CHECK(rc::check("over random trees and traces", [](std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const QuotaShape shape = drawnShape(random);
@@ -126,7 +125,7 @@
         tree.charge(leaf, amount, nowMs);
         ledger.entries.push_back({nowMs, leaf, amount});
       }
-      // The reference: whether it fits at each level, in the span and in a fiftieth more.
+      // The reference: whether the amount fits at each level, in the span and in a span a fiftieth longer.
       bool fitsWide = true;
       for (int node = leaf; node >= 0; node = shape.nodes[static_cast<std::size_t>(node)].parent)
         for (const QuotaShape::Limit& limit : shape.nodes[static_cast<std::size_t>(node)].limits) {
@@ -134,14 +133,14 @@
           const std::uint64_t more = rejection ? amount.of(limit.measure) : 0;
           const std::uint64_t exact = ledger.sum(shape, node, nowMs, spanMs).of(limit.measure);
           const std::uint64_t wide = ledger.sum(shape, node, nowMs, spanMs * 1.02 + 1e-6).of(limit.measure);
-          if (!rejection && amount.of(limit.measure) > 0) RC_ASSERT(exact <= limit.most);
-          fitsWide = fitsWide && (more == 0 || wide + more <= limit.most);
+          if (!rejection && amount.of(limit.measure) > 0) RC_ASSERT(exact <= limit.max);
+          fitsWide = fitsWide && (more == 0 || wide + more <= limit.max);
         }
       if (!rejection) continue;
       RC_ASSERT(!fitsWide);
       RC_ASSERT(rejection->retryAfterMs > 0);
       RC_ASSERT(!rejection->poolFull);
-      // Come back then, nothing having been used meanwhile: it fits.
+      // After the wait, the amount fits if nothing else was used.
       if (!std::isfinite(rejection->retryAfterMs)) continue;
       QuotaTree later = tree;
       RC_ASSERT(!later.rejects(leaf, amount, nowMs + rejection->retryAfterMs + 0.01));
@@ -150,23 +149,24 @@
   }));
 }
 
-TEST_CASE("a burst on both sides of a window's edge, time that stands still, jumps ahead, or runs back") {
+TEST_CASE("bursts around a window's edge, and time that stops, jumps ahead or runs backwards") {
   SlidingWindow window(2000);
   for (int i = 0; i < 5; ++i) window.add(1999, amountOf(1));
-  CHECK(window.used(2001).of(Measure::kMessages) == 5);  // a counter of whole windows would begin anew
+  CHECK(window.used(2001).of(Measure::kMessages) == 5);  // a counter of fixed windows would restart
   for (int i = 0; i < 5; ++i) window.add(1999, amountOf(1));
   CHECK(window.used(1999).of(Measure::kMessages) == 10);
   CHECK(window.used(500).of(Measure::kMessages) == 10);
   window.add(500, amountOf(1));
   CHECK(window.used(3998).of(Measure::kMessages) == 11);
   CHECK(window.used(4001).of(Measure::kMessages) <= 11);
-  CHECK(window.used(4040).none());
+  CHECK(window.used(4040).isZero());
   window.add(4040, amountOf(3));
-  CHECK(window.used(3604040).none());
-  CHECK(window.roomInMs(3604040, Measure::kMessages, 1, 0) == std::numeric_limits<double>::infinity());
+  CHECK(window.used(3604040).isZero());
+  CHECK(window.waitForCapacityMs(3604040, Measure::kMessages, 1, 0) ==
+        std::numeric_limits<double>::infinity());
 }
 
-TEST_CASE("worth in fractions leaves nothing behind, over ten million messages") {
+TEST_CASE("fractional worth accumulates no rounding error over ten million messages") {
   SlidingWindow window(60e3);
   std::mt19937_64 random(7);
   double nowMs = 0;
@@ -179,10 +179,10 @@
   }
   CHECK(window.used(nowMs).of(Measure::kWorth) > 60e3 / 0.37 * 333333);
   CHECK(window.used(nowMs).of(Measure::kWorth) < 1.021 * 60e3 / 0.37 * 333336);
-  CHECK(window.used(nowMs + 61.3e3).none());
+  CHECK(window.used(nowMs + 61.3e3).isZero());
 }
 
-TEST_CASE("a call that never counted is given back, once, where it still stands") {
+TEST_CASE("a call is refunded only once, and only while it is in the window") {
   QuotaShape shape;
   shape.spansMs = {2000};
   shape.nodes = {{"institution", -1, {{Measure::kCalls, 0, 3}}}, {"faculty", 0, {{Measure::kCalls, 0, 2}}}};
@@ -197,14 +197,13 @@
   tree.refund(1, call, 1500, 1600);
   CHECK_FALSE(tree.rejects(1, call, 1600));
   CHECK(tree.used(0, 0, 1600).of(Measure::kCalls) == 1);
-  tree.refund(1, call, 1500, 1600);  // there is nothing left of that moment
+  tree.refund(1, call, 1500, 1600);  // nothing is left to refund in that bucket
   CHECK(tree.used(0, 0, 1600).of(Measure::kCalls) == 1);
-  tree.refund(1, call, 1000, 4000);  // long gone
-  CHECK(tree.used(0, 0, 4000).none());
+  tree.refund(1, call, 1000, 4000);  // no longer in the window
+  CHECK(tree.used(0, 0, 4000).isZero());
 }
 
-TEST_CASE(
-    "of 10,000 faculties only those that send hold windows, and a pool used up refuses until one is free") {
+TEST_CASE("only active nodes out of 10,000 occupy windows, and an exhausted pool rejects until one is free") {
   QuotaShape shape;
   shape.spansMs = {2000, 60000};
   shape.nodes.push_back({"institution", -1, {{Measure::kMessages, 0, 100000}}});
@@ -223,16 +222,16 @@
   REQUIRE(rejection);
   CHECK(rejection->poolFull);
   CHECK(rejection->retryAfterMs == 2000);
-  CHECK_FALSE(tree.rejects(1, one, 1000));  // it has its windows
+  CHECK_FALSE(tree.rejects(1, one, 1000));  // it already has its windows
   for (int i = 0; i < 300; ++i) tree.charge(1, one, 3500);
-  CHECK(tree.activeWindows() == 201 - 99);  // the short windows of the others have slid out
+  CHECK(tree.activeWindows() == 201 - 99);  // the short windows of the other nodes have expired
   CHECK_FALSE(tree.rejects(101, one, 3500));
   for (int i = 0; i < 300; ++i) tree.charge(1, one, 70000);
   CHECK(tree.activeWindows() == 3);
   CHECK(tree.uncounted() == 0);
 }
 
-TEST_CASE("which node a message belongs to: its unit's, the rest's, its tenant's, or none") {
+TEST_CASE("a message belongs to the node of its unit, of the rest, of its tenant, or to none") {
   QuotaPlan plan;
   plan.windowsS = {2};
   plan.maxActiveWindows = 8;
@@ -245,27 +244,26 @@
                 {"gone", "", "no longer there", "", false, {1}, {}, {}}};
   Counters counters;
   std::ostringstream log;
-  QuotaAdmission door(plan, {"a", "b", "c"}, {1}, {counters, log});
-  CHECK(door.leafOf(0, "med") == 2);
-  CHECK(door.leafOf(0, "") == 3);
-  CHECK(door.leafOf(0, "campus") == 3);
-  CHECK(door.leafOf(0, std::string(10000, 'x')) == 3);
-  CHECK(door.leafOf(1, "med") == 5);
-  CHECK(door.leafOf(1, "law") == 4);
-  CHECK(door.leafOf(2, "med") == QuotaAdmission::kNoQuota);
-  CHECK_FALSE(door.rejects(QuotaAdmission::kNoQuota, 0, 0));
-  // The campus has room for four, of which its faculty takes three.
+  QuotaAdmission quotas(plan, {"a", "b", "c"}, {1}, {counters, log});
+  CHECK(quotas.leafOf(0, "med") == 2);
+  CHECK(quotas.leafOf(0, "") == 3);
+  CHECK(quotas.leafOf(0, "campus") == 3);
+  CHECK(quotas.leafOf(0, std::string(10000, 'x')) == 3);
+  CHECK(quotas.leafOf(1, "med") == 5);
+  CHECK(quotas.leafOf(1, "law") == 4);
+  CHECK(quotas.leafOf(2, "med") == QuotaAdmission::kNoQuota);
+  CHECK_FALSE(quotas.rejects(QuotaAdmission::kNoQuota, 0, 0));
+  // The limit of the campus is four messages, of which its faculty uses three.
   for (int i = 0; i < 3; ++i) {
-    REQUIRE_FALSE(door.rejects(2, 0, 1000));
-    door.chargeRequest(2, 0, 1000);
+    REQUIRE_FALSE(quotas.rejects(2, 0, 1000));
+    quotas.chargeRequest(2, 0, 1000);
   }
-  CHECK(door.rejects(2, 0, 1000));
-  CHECK(log.str() == "quota: med has no room in its messages of 2 s\n");
-  CHECK_FALSE(door.rejects(1, 0, 1000));
+  CHECK(quotas.rejects(2, 0, 1000));
+  CHECK(log.str() == "quota: med has reached its limit of messages in 2 s\n");
+  CHECK_FALSE(quotas.rejects(1, 0, 1000));
 }
 
-TEST_CASE(
-    "a call that finds no window free is charged where there is one, and said to be uncounted elsewhere") {
+TEST_CASE("a call without a free window is charged where one exists, and counted as uncounted elsewhere") {
   QuotaShape shape;
   shape.spansMs = {2000};
   shape.nodes = {{"institution", -1, {{Measure::kCalls, 0, 9}}}, {"faculty", 0, {{Measure::kCalls, 0, 9}}}};
@@ -275,5 +273,5 @@
   tree.charge(1, amountOf(0, 0, 1), 1000);
   CHECK(tree.uncounted() == 1);
   CHECK(tree.used(0, 0, 1000).of(Measure::kCalls) == 2);
-  CHECK(tree.used(1, 0, 1000).none());
+  CHECK(tree.used(1, 0, 1000).isZero());
 }
