--- a/src/inbound/arrival_times.cpp
+++ b/src/inbound/arrival_times.cpp
@@ -5,24 +5,25 @@
 namespace myrtleloft {
 namespace {
 
-// PROTOCOL, "Clients to relays": a client waits so long for its answer. What came earlier has no client any
-// more, so no bound needs to be earlier.
+// How long a client waits for its answer, according to the protocol. A request that arrived earlier has no
+// client any more, so no bound needs to be earlier.
 constexpr double kClientPatienceMs = 400;
 
 }  // namespace
 
-void ArrivalTimes::beforeRead(const Look& look) {
-  emptyMs_ = std::max(emptyMs_, look.quietAtMs);
-  firstMs_ = std::clamp(emptyMs_, look.nowMs - kClientPatienceMs, look.nowMs);
-  lastMs_ = look.ageMs ? std::clamp(look.nowMs - *look.ageMs, std::min(emptyMs_, look.nowMs), look.nowMs)
-                       : firstMs_;
-  firstMs_ = std::min(firstMs_, lastMs_);
-  readMs_ = look.nowMs;
+void ArrivalTimes::beforeRead(const Observation& observed) {
+  emptyAtMs_ = std::max(emptyAtMs_, observed.quietAtMs);
+  firstBytesMs_ = std::clamp(emptyAtMs_, observed.nowMs - kClientPatienceMs, observed.nowMs);
+  lastByteMs_ = observed.ageMs ? std::clamp(observed.nowMs - *observed.ageMs,
+                                            std::min(emptyAtMs_, observed.nowMs), observed.nowMs)
+                               : firstBytesMs_;
+  firstBytesMs_ = std::min(firstBytesMs_, lastByteMs_);
+  readStartMs_ = observed.nowMs;
 }
 
 void ArrivalTimes::afterRead(bool drained) {
   drained_ = drained;
-  if (drained) emptyMs_ = std::max(emptyMs_, readMs_);
+  if (drained) emptyAtMs_ = std::max(emptyAtMs_, readStartMs_);
 }
 
 }  // namespace myrtleloft
--- a/src/inbound/arrival_times.h
+++ b/src/inbound/arrival_times.h
@@ -1,15 +1,16 @@
-// When the requests of one client's connection came, which may be long before they are read: the process may
-// have stood still, or the connection have waited in the backlog for room. A request's time runs from then.
+// Estimates when the requests of a client's connection arrived. This may be long before they are read, if the
+// process was stopped or the connection waited in the backlog. The deadline of a request is counted from its
+// arrival.
 //
 //   ArrivalTimes times(acceptedMs);
 //   times.beforeRead({nowMs, loop.quietAtMs(fd), lastArrivalAgeMs(fd)});
 //   const Io io = readSome(fd, buffer);
 //   times.afterRead(!hasUnreadBytes(fd));
-//   const double ms = times.requestMs(nothingBehind);   // of a request that was complete with that read
+//   const double ms = times.requestMs(isLast);   // of a request that this read completed
 //
-// No moment that it tells is later than the true one, wherever the process stands still meanwhile; but where
-// the system does not tell when bytes came, a stand within a poll is not seen. Times are
-// milliseconds of the loop's clock. No I/O; one thread; O(1).
+// No estimate is later than the true time, wherever the process is stopped, with one exception: if the system
+// does not provide the time at which bytes arrived, a stop inside poll(2) is not detected. Times are in
+// milliseconds on the loop's clock. No I/O, O(1), to be used from one thread.
 #pragma once
 
 #include <optional>
@@ -19,31 +20,32 @@
 class ArrivalTimes {
  public:
   // What is known just before a read.
-  struct Look {
-    double nowMs = 0;  // taken before the age
-    // Nothing lay unread then: Loop::quietAtMs, or likelyQuietAtMs where the system does not tell the age.
+  struct Observation {
+    double nowMs = 0;  // must be read before the age
+    // A time without unread bytes: Loop::quietAtMs, or likelyQuietAtMs if the age is unknown.
     double quietAtMs = 0;
-    std::optional<double> ageMs;  // how long ago the last bytes came, if the system tells
+    std::optional<double> ageMs;  // milliseconds since the last bytes arrived, if known
   };
 
-  // `quietAtMs`: nothing of the connection had come then.
+  // `quietAtMs` is a time at which nothing had arrived on the connection.
   explicit ArrivalTimes(double quietAtMs = 0)
-      : emptyMs_(quietAtMs), firstMs_(quietAtMs), lastMs_(quietAtMs) {}
+      : emptyAtMs_(quietAtMs), firstBytesMs_(quietAtMs), lastByteMs_(quietAtMs) {}
 
-  void beforeRead(const Look& look);
-  // `drained`: the read took all that had come.
+  void beforeRead(const Observation& observed);
+  // `drained` is true if the read took all bytes that had arrived.
   void afterRead(bool drained);
 
-  // When the last byte of the last read came.
-  double lastByteMs() const { return lastMs_; }
-  // When the last byte of a request came that was complete with the last read, and not before.
-  // `nothingBehind`: its last byte was also the last of that read. Else only a bound is known.
-  double requestMs(bool nothingBehind) const { return nothingBehind && drained_ ? lastMs_ : firstMs_; }
+  // Returns when the last byte of the last read arrived.
+  double lastByteMs() const { return lastByteMs_; }
+  // Returns when the last byte of a request arrived that the last read completed. `isLast` is true if that
+  // byte was also the last one read; otherwise only a lower bound is known.
+  double requestMs(bool isLast) const { return isLast && drained_ ? lastByteMs_ : firstBytesMs_; }
 
  private:
-  double emptyMs_;           // what is unread came no earlier
-  double firstMs_, lastMs_;  // of the last read: its first bytes came no earlier, its last ones then
-  double readMs_ = 0;        // when it began
+  double emptyAtMs_;  // a time without unread bytes
+  // Of the last read: a lower bound for the arrival of its first bytes, and the arrival of its last byte.
+  double firstBytesMs_, lastByteMs_;
+  double readStartMs_ = 0;  // when the last read began
   bool drained_ = true;
 };
 
--- a/src/inbound/close_reason.h
+++ b/src/inbound/close_reason.h
@@ -1,4 +1,4 @@
-// Why a client's connection was closed: for the counters and the log.
+// The reasons for closing a client's connection, used in counters and the log.
 #pragma once
 
 #include <cstdint>
@@ -6,14 +6,14 @@
 namespace myrtleloft {
 
 enum class CloseReason : std::uint8_t {
-  kAnswered,     // behind its last answer, as between two requests where the relay retires
-  kIdle,         // nothing came for long, before or between requests
-  kEvicted,      // to make room
-  kSlow,         // its client took too long to read its answer
-  kFlooded,      // it went on sending behind its last answer
-  kClientEnded,  // its client had ended its sending, or all of it
-  kBroken,       // the connection broke
-  kWriteFailed,  // ... as an answer was written
+  kAnswered,     // after its last answer, or between requests while the relay drains
+  kIdle,         // no input within the timeout, before or between requests
+  kEvicted,      // to stay within the connection limit
+  kSlow,         // the client took too long to read its answer
+  kFlooded,      // the client kept sending after the last answer
+  kClientEnded,  // the client had shut down its sending side or closed the connection
+  kBroken,       // the connection failed
+  kWriteFailed,  // the connection failed while an answer was written
   kProcessEnds
 };
 inline const char* nameOf(CloseReason reason) {
@@ -21,7 +21,7 @@
                                     "client-ended", "broken", "write-failed", "process-ends"};
   return kNames[static_cast<std::size_t>(reason)];
 }
-// Whether the client had gone before: nobody is left to be answered.
+// Returns true if the client ended the connection, so that no answer can reach it.
 inline bool byClient(CloseReason reason) {
   return reason == CloseReason::kClientEnded || reason == CloseReason::kBroken ||
          reason == CloseReason::kWriteFailed;
--- a/src/inbound/http_server.cpp
+++ b/src/inbound/http_server.cpp
@@ -7,172 +7,179 @@
 namespace myrtleloft {
 namespace {
 
-// How long a connection may take for its first whole request from its start, for a later one from its first
-// byte, and to read an answer; how long it may be idle between requests; how long it stays after an error.
-constexpr double kRequestMs = 2000, kIdleMs = 2000, kLingerMs = 500, kSweepMs = 100;
-constexpr std::size_t kIdlePart = 8;  // of the room, how much is for idle connections
-// With no room left: how long one may have said nothing, or stood still half-way, before it gives way.
-constexpr double kSilentMs = 300, kHalfWayMs = 250;
-constexpr double kAcceptAgainMs = 10;
-constexpr int kAcceptsAtOnce = 64;  // so that connections without end do not keep the loop from the others
+// kRequestMs limits the first request (from the start of the connection), each later one (from its first
+// byte), and the time to write an answer. kIdleMs limits the time between requests. After kLingerMs, a
+// half-closed connection is closed.
+constexpr double kRequestMs = 2000, kIdleMs = 2000, kLingerMs = 500, kExpiryIntervalMs = 100;
+constexpr std::size_t kIdleDivisor = 8;  // one in so many connections may be idle
+// Minimum age before a connection is evicted: of one without any input, and of one with an incomplete request
+// or answer.
+constexpr double kNewConnectionMs = 300, kStalledMs = 250;
+constexpr double kAcceptRetryMs = 10;
+constexpr int kMaxAcceptsPerTurn = 64;  // so that new connections do not block the loop
 
 }  // namespace
 
 HttpServer::HttpServer(Loop& loop, RequestSink& sink, Counters& counters, RequestNames names,
-                       std::size_t mostConnections, std::size_t mostBytes, const RequestTrace* trace)
+                       std::size_t maxConnections, std::size_t maxBytes, const RequestTrace* trace)
     : loop_(loop),
       sink_(sink),
       counters_(counters),
       names_(std::move(names)),
-      mostConnections_(mostConnections),
-      mostBytes_(mostBytes),
+      maxConnections_(maxConnections),
+      maxBytes_(maxBytes),
       trace_(trace) {}
 
 HttpServer::~HttpServer() {
-  loop_.cancel(sweepTimer_);
+  loop_.cancel(expiryTimer_);
   loop_.cancel(acceptTimer_);
   while (!connections_.empty()) {
     const auto at = connections_.begin();
-    Connection& c = at->second;
-    // Whatever was answered a moment ago, as where memory ran out, gets its end as between requests.
-    if (!c.out.empty()) writeSome(c.fd, c.out, c.written);
-    if (c.stage() != Stage::kSilent && c.stage() != Stage::kBegun)
-      endSending(at->first, CloseReason::kProcessEnds);
-    drop(at->first, CloseReason::kProcessEnds);
+    Connection& client = at->second;
+    // Answers that were just given, for example because memory ran out, are written as far as possible.
+    if (!client.out.empty()) writeSome(client.fd, client.out, client.written);
+    if (client.stage() != Stage::kNew && client.stage() != Stage::kReadingRequest)
+      halfClose(at->first, CloseReason::kProcessEnds);
+    close(at->first, CloseReason::kProcessEnds);
   }
   if (listener_) loop_.unwatch(listener_.get());
 }
 
-bool HttpServer::open(const Address& address, std::string& error, int* number) {
-  listener_ = listenOn(address, error, number);
+bool HttpServer::open(const Address& address, std::string& error, int* errorNumber) {
+  listener_ = listenOn(address, error, errorNumber);
   if (!listener_) return false;
   loop_.watch(listener_.get(), POLLIN, [this](short) { onAccept(); });
-  sweepTimer_ = loop_.after(kSweepMs, [this] { sweep(); });
+  expiryTimer_ = loop_.after(kExpiryIntervalMs, [this] { closeExpired(); });
   return true;
 }
 
 void HttpServer::onAccept() {
-  for (int i = 0; i < kAcceptsAtOnce; ++i) {
-    if (connections_.size() >= mostConnections_) {
-      if (!hasPendingConnection(listener_)) return;  // nobody has to go where nobody comes
-      makeRoom();
+  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
+    if (connections_.size() >= maxConnections_) {
+      if (!hasPendingConnection(listener_)) return;  // no need to evict a connection
+      evictOne();
     }
     int error = 0;
-    // With no room the rest waits in the backlog: closing it would leave requests unanswered.
-    const bool room = connections_.size() < mostConnections_;
-    Fd fd = room ? acceptFrom(listener_, error) : Fd();
+    // At the limit, new connections wait in the backlog: closing them would leave requests unanswered.
+    const bool hasRoom = connections_.size() < maxConnections_;
+    Fd fd = hasRoom ? acceptFrom(listener_, error) : Fd();
     if (!fd) {
-      if (room && (error == EINTR || error == ECONNABORTED)) continue;
-      if (room && (error == EAGAIN || error == EWOULDBLOCK)) return;
-      // Out of descriptors or of room. The listener stays readable: not to spin, it is left alone a moment.
+      if (hasRoom && (error == EINTR || error == ECONNABORTED)) continue;
+      if (hasRoom && (error == EAGAIN || error == EWOULDBLOCK)) return;
+      // Out of descriptors or at the limit. The listener stays readable, so it is not watched for a moment to
+      // avoid spinning.
       loop_.setEvents(listener_.get(), 0);
-      acceptTimer_ = loop_.after(kAcceptAgainMs, [this] { loop_.setEvents(listener_.get(), POLLIN); });
+      acceptTimer_ = loop_.after(kAcceptRetryMs, [this] { loop_.setEvents(listener_.get(), POLLIN); });
       return;
     }
     ++counters_.connectionsIn;
-    const Number number = ++lastNumber_;
-    loop_.watch(fd.get(), POLLIN, [this, number](short revents) { onEvents(number, revents); });
-    Connection& c = connections_[number];
-    c.fd = std::move(fd);
-    const ArrivalTimes::Look seen = look(c.fd);
+    const ConnectionId id = ++lastId_;
+    loop_.watch(fd.get(), POLLIN, [this, id](short revents) { onEvents(id, revents); });
+    Connection& client = connections_[id];
+    client.fd = std::move(fd);
+    const ArrivalTimes::Observation observed = observe(client.fd);
     const int listener = listener_.get();
-    c.arrivals = ArrivalTimes(seen.ageMs ? loop_.quietAtMs(listener) : loop_.likelyQuietAtMs(listener));
-    c.sinceMs = seen.nowMs - seen.ageMs.value_or(0);
+    client.arrivals =
+        ArrivalTimes(observed.ageMs ? loop_.quietAtMs(listener) : loop_.likelyQuietAtMs(listener));
+    client.sinceMs = observed.nowMs - observed.ageMs.value_or(0);
   }
 }
 
-ArrivalTimes::Look HttpServer::look(const Fd& fd) const {
-  const double nowMs = loop_.nowMs();  // before the age
+ArrivalTimes::Observation HttpServer::observe(const Fd& fd) const {
+  const double nowMs = loop_.nowMs();  // read before the age, see ArrivalTimes::Observation
   const std::optional<double> ageMs = lastArrivalAgeMs(fd);
   return {nowMs, ageMs ? loop_.quietAtMs(fd.get()) : loop_.likelyQuietAtMs(fd.get()), ageMs};
 }
 
 HttpServer::Stage HttpServer::Connection::stage() const {
   if (lingering) return Stage::kLingering;
-  if (!waiting.empty()) return Stage::kAsked;
-  if (!out.empty()) return Stage::kAnswering;
-  if (unsure || reader.midMessage()) return Stage::kBegun;
-  return answered ? Stage::kIdle : Stage::kSilent;
+  if (!requestId.empty()) return Stage::kAwaitingAnswer;
+  if (!out.empty()) return Stage::kWritingAnswer;
+  if (undecided || reader.midMessage()) return Stage::kReadingRequest;
+  return answered ? Stage::kIdle : Stage::kNew;
 }
 
-// Those that were answered give way first, the longest idle before the others: they lose nothing. To close
-// one that has said nothing yet fails the request that it was opened for, where its client is merely slow:
-// half of all were lost on a day on which hundreds had asked once and stayed. Only where hundreds say nothing
-// do they have to go as well. None with an open request is closed, nor one whose request has come and was not
-// read yet.
-void HttpServer::makeRoom() {
-  std::optional<Number> which;
-  std::pair<int, double> least;
+// Connections whose requests were answered are evicted first, the longest idle one before the others, because
+// their clients lose nothing. Closing a connection without any input fails the request for which a slow
+// client opened it; when hundreds of clients kept idle connections open, this lost half of all requests. Such
+// connections are evicted only if none of the first kind are left. A connection with an unanswered or unread
+// request is never evicted.
+void HttpServer::evictOne() {
+  std::optional<ConnectionId> victim;
+  std::pair<int, double> lowestRank;
   const double now = loop_.nowMs();
-  for (const auto& [number, c] : connections_) {
-    const Stage stage = c.stage();
-    const double patience = stage == Stage::kSilent                                ? kSilentMs
-                            : stage == Stage::kBegun || stage == Stage::kAnswering ? kHalfWayMs
-                                                                                   : 0;
-    const std::pair rank{static_cast<int>(stage), c.sinceMs};
-    if (stage == Stage::kAsked || now - c.sinceMs < patience || (which && least <= rank)) continue;
-    if ((stage == Stage::kSilent || stage == Stage::kIdle) && !c.rests()) continue;
-    which = number;
-    least = rank;
+  for (const auto& [id, client] : connections_) {
+    const Stage stage = client.stage();
+    const double patience = stage == Stage::kNew ? kNewConnectionMs
+                            : stage == Stage::kReadingRequest || stage == Stage::kWritingAnswer ? kStalledMs
+                                                                                                : 0;
+    const std::pair rank{static_cast<int>(stage), client.sinceMs};
+    if (stage == Stage::kAwaitingAnswer || now - client.sinceMs < patience || (victim && lowestRank <= rank))
+      continue;
+    if ((stage == Stage::kNew || stage == Stage::kIdle) && !client.isQuiescent()) continue;
+    victim = id;
+    lowestRank = rank;
   }
-  if (!which) return;
+  if (!victim) return;
   ++counters_.evicted;
-  drop(*which, CloseReason::kEvicted);
+  close(*victim, CloseReason::kEvicted);
 }
 
-// What came since a last answer is taken off first: closed over unread bytes, the connection would be reset,
-// and the answer with it. Of one that rests it is left: the reset tells its client that it was not read.
-void HttpServer::drop(Number number, CloseReason reason) {
-  const auto at = connections_.find(number);
-  Connection& c = at->second;
+// Input after the last answer is discarded first: closing a socket with unread bytes resets the connection,
+// and the client could lose the answer. On other connections it is left, because the reset tells the client
+// that its bytes were not read.
+void HttpServer::close(ConnectionId id, CloseReason reason) {
+  const auto at = connections_.find(id);
+  Connection& client = at->second;
   ++counters_.closes.at(static_cast<std::size_t>(reason));
-  if (!c.waiting.empty() && !byClient(reason)) ++counters_.closedUnanswered;
-  if (trace_) trace_->closed(number, nameOf(reason), c.waiting);
-  if (c.lingering) discardInput(c.fd, kLingerBytes);
-  loop_.unwatch(c.fd.get());
-  held_ -= c.held;
+  if (!client.requestId.empty() && !byClient(reason)) ++counters_.closedUnanswered;
+  if (trace_) trace_->closed(id, nameOf(reason), client.requestId);
+  if (client.lingering) discardInput(client.fd, kLingerBytes);
+  loop_.unwatch(client.fd.get());
+  heldBytes_ -= client.heldBytes;
   connections_.erase(at);
 }
 
 void HttpServer::drain() {
   draining_ = true;
-  for (auto& [number, c] : connections_)
-    if (c.stage() == Stage::kIdle && c.rests()) endSending(number, CloseReason::kAnswered);
+  for (auto& [id, client] : connections_)
+    if (client.stage() == Stage::kIdle && client.isQuiescent()) halfClose(id, CloseReason::kAnswered);
 }
 
-void HttpServer::sweep() {
+void HttpServer::closeExpired() {
   const double now = loop_.nowMs();
-  std::vector<Number> old;
-  std::vector<std::pair<double, Number>> idle;
-  for (const auto& [number, c] : connections_) {
-    if (c.stage() == Stage::kIdle) idle.emplace_back(c.sinceMs, number);
-    const Stage stage = c.stage();
-    const double most = stage == Stage::kLingering ? kLingerMs : stage == Stage::kIdle ? kIdleMs : kRequestMs;
-    if (stage != Stage::kAsked && now - c.sinceMs > most) old.push_back(number);
+  std::vector<ConnectionId> expired;
+  std::vector<std::pair<double, ConnectionId>> idle;
+  for (const auto& [id, client] : connections_) {
+    if (client.stage() == Stage::kIdle) idle.emplace_back(client.sinceMs, id);
+    const Stage stage = client.stage();
+    const double maxAgeMs = stage == Stage::kLingering ? kLingerMs
+                            : stage == Stage::kIdle    ? kIdleMs
+                                                       : kRequestMs;
+    if (stage != Stage::kAwaitingAnswer && now - client.sinceMs > maxAgeMs) expired.push_back(id);
   }
-  // Clients have descriptors of their own, and only so many: where each asks once and stays, those idle here
-  // are what they lack for the next request. (Half of all requests were never sent, with 270 connections
-  // idle.)
-  const std::size_t most = mostConnections_ / kIdlePart;
-  if (idle.size() > most) {
+  // Idle connections also occupy descriptors of the clients, which may have too few left for the next
+  // request. (With 270 idle connections, half of all requests were never sent.)
+  const std::size_t maxIdle = maxConnections_ / kIdleDivisor;
+  if (idle.size() > maxIdle) {
     std::sort(idle.begin(), idle.end());
-    for (std::size_t i = 0; i < idle.size() - most; ++i) old.push_back(idle[i].second);
+    for (std::size_t i = 0; i < idle.size() - maxIdle; ++i) expired.push_back(idle[i].second);
   }
-  for (const Number number : old) {
-    const auto at = connections_.find(number);
+  for (const ConnectionId id : expired) {
+    const auto at = connections_.find(id);
     if (at == connections_.end()) continue;
-    const Connection& c = at->second;
-    // The rest of it may have come and wait to be read.
-    if (c.stage() == Stage::kBegun && !hasInput(c.fd))
-      refuse(number, 408);
-    else if (c.stage() == Stage::kBegun)
+    const Connection& client = at->second;
+    // The rest of the request may have arrived and not been read yet.
+    if (client.stage() == Stage::kReadingRequest && !hasInput(client.fd))
+      rejectAndClose(id, 408);
+    else if (client.stage() == Stage::kReadingRequest)
       continue;
-    else if (c.lingering || !c.out.empty())
-      drop(number, c.lingering ? c.why : CloseReason::kSlow);
-    else if (c.rests())
-      endSending(number, CloseReason::kIdle);
+    else if (client.lingering || !client.out.empty())
+      close(id, client.lingering ? client.closeReason : CloseReason::kSlow);
+    else if (client.isQuiescent())
+      halfClose(id, CloseReason::kIdle);
   }
-  sweepTimer_ = loop_.after(kSweepMs, [this] { sweep(); });
+  expiryTimer_ = loop_.after(kExpiryIntervalMs, [this] { closeExpired(); });
 }
 
 }  // namespace myrtleloft
--- a/src/inbound/http_server.h
+++ b/src/inbound/http_server.h
@@ -1,4 +1,5 @@
-// The client side: accepts connections, reads requests, writes answers. Knows nothing of endpoints.
+// The HTTP server for clients: accepts connections, reads requests, hands them to a RequestSink and writes
+// the answers. It handles one request per connection at a time.
 #pragma once
 
 #include <functional>
@@ -22,88 +23,92 @@
 
 class HttpServer {
  public:
-  // `mostBytes`: what all requests together may hold that are not read to their end, or not yet answered. One
-  // that would pass it is refused with when to come back. `trace`, if any, outlives it.
+  // `maxBytes` limits the memory of all requests that are incomplete or unanswered. A request that would
+  // exceed it is answered with 503 and a Retry-After. `trace` may be nullptr and must otherwise outlive the
+  // server.
   HttpServer(Loop& loop, RequestSink& sink, Counters& counters, RequestNames names,
-             std::size_t mostConnections, std::size_t mostBytes, const RequestTrace* trace = nullptr);
+             std::size_t maxConnections, std::size_t maxBytes, const RequestTrace* trace = nullptr);
   ~HttpServer();
 
-  // false: `error` says why, and `number`, where it is given, is the errno.
-  bool open(const Address& address, std::string& error, int* number = nullptr);
+  // Starts to listen. On failure, returns false and sets `error` to a message and `*errorNumber`, if given,
+  // to the errno.
+  bool open(const Address& address, std::string& error, int* errorNumber = nullptr);
   std::string listening() const { return localAddress(listener_); }
-  void setReady(bool ready) { ready_ = ready; }  // what GET /up says
-  // From now on connections are closed between requests: those that rest at once, each other one after the
-  // last request that was read from it. One that was opened and has not asked yet is waited for.
+  void setReady(bool ready) { ready_ = ready; }  // the answer to GET /up: 200 or 503
+  // Begins a graceful shutdown: idle connections are closed now, all others after the answer to the last
+  // request that was read. A connection without a request so far is kept open for its first one.
   void drain();
   std::size_t connections() const { return connections_.size(); }
 
  private:
-  // What a connection is at, in the order in which they give way where there is no more room.
+  // The states of a connection, in the order in which connections are evicted when the limit is reached.
   enum class Stage {
-    kLingering,  // its last answer is written, and what still comes is not read as requests
-    kIdle,       // between requests
-    kSilent,     // nothing came yet
-    kBegun,      // a request is half in
-    kAnswering,  // an answer is half out
-    kAsked,      // a request is open
+    kLingering,       // the last answer is written; further input is discarded
+    kIdle,            // between requests
+    kNew,             // nothing received yet
+    kReadingRequest,  // a request is incomplete
+    kWritingAnswer,   // an answer is partially written
+    kAwaitingAnswer,  // a request is unanswered; never evicted
   };
   struct Connection {
     Fd fd;
     HttpReader reader{HttpReader::Side::kRequest};
     std::string out;
     std::size_t written = 0;
-    std::size_t dropped = 0;  // bytes, while lingering
-    double sinceMs = 0;       // when its present patience began: that of a new one when it was established
-    std::string waiting;      // id of the request that is not answered yet
-    std::size_t held = 0;     // bytes of its request
+    std::size_t droppedBytes = 0;  // while lingering
+    double sinceMs = 0;     // when the current timeout began; for a new connection, when it was established
+    std::string requestId;  // id of the unanswered request, if any
+    std::size_t heldBytes = 0;  // memory of its request
     ArrivalTimes arrivals;
-    double requestMs = 0;  // when the last byte of its latest whole request came
-    // A whole request, while what has come behind it may be one more or the rest of a body.
-    std::optional<HttpMessage> unsure;
+    double requestMs = 0;  // when the last byte of the latest complete request arrived
+    // A complete request, while it is unknown whether the bytes after it begin another request.
+    std::optional<HttpMessage> undecided;
     bool keepAlive = true, answered = false, lingering = false;
-    CloseReason why = CloseReason::kAnswered;  // it lingers
-    bool halfClosed = false;                   // its client has ended its sending
+    CloseReason closeReason = CloseReason::kAnswered;  // while lingering
+    bool halfClosed = false;                           // the client has shut down its sending side
     Stage stage() const;
-    // No request is on it, not even one that has come and was not read yet.
-    bool rests() const { return (stage() == Stage::kIdle || stage() == Stage::kSilent) && !hasInput(fd); }
+    // Returns true if there is no request on the connection, not even an unread one.
+    bool isQuiescent() const { return (stage() == Stage::kIdle || stage() == Stage::kNew) && !hasInput(fd); }
   };
-  using Number = std::uint64_t;
-  static constexpr std::size_t kLingerBytes = 256 * 1024;  // read of a connection after its last answer
+  using ConnectionId = std::uint64_t;
+  static constexpr std::size_t kLingerBytes =
+      256 * 1024;  // maximum input that is discarded after the last answer
 
   void onAccept();
-  void makeRoom();
-  void onEvents(Number number, short revents);
-  void readAndServe(Number number);
-  ArrivalTimes::Look look(const Fd& fd) const;
-  void serve(Number number);
-  void onMessage(Number number, HttpMessage message);
-  void offer(Number number, IncomingRequest request);
-  void onAnswer(Number number, const Answer& answer);
-  void onInputWhileAsked(Number number);
-  // Its client has ended its sending, or all of it.
-  void onHalfClose(Number number);
-  void onReset(Number number);
-  void refuse(Number number, int status, const Headers& headers = {});
-  void reply(Number number, int status, const Headers& headers = {}, std::string_view body = {});
-  void flush(Number number);
-  // Ends the sending side. Nothing is read as a request after that.
-  void endSending(Number number, CloseReason why);
-  void drop(Number number, CloseReason reason);
-  // Counts what the connection's request holds; refuses it where that is too much for all.
-  void weigh(Number number);
-  void sweep();
+  void evictOne();
+  void onEvents(ConnectionId id, short revents);
+  void readAndServe(ConnectionId id);
+  ArrivalTimes::Observation observe(const Fd& fd) const;
+  void serve(ConnectionId id);
+  void onMessage(ConnectionId id, HttpMessage message);
+  void forward(ConnectionId id, IncomingRequest request);
+  void onAnswer(ConnectionId id, const Answer& answer);
+  void onInputWhileAwaiting(ConnectionId id);
+  // The client has shut down its sending side or closed the connection.
+  void onHalfClose(ConnectionId id);
+  void onReset(ConnectionId id);
+  void rejectAndClose(ConnectionId id, int status, const Headers& headers = {});
+  void reply(ConnectionId id, int status, const Headers& headers = {}, std::string_view body = {});
+  void flush(ConnectionId id);
+  // Shuts down the sending side. Later input is discarded.
+  void halfClose(ConnectionId id, CloseReason closeReason);
+  void close(ConnectionId id, CloseReason reason);
+  // Updates the memory count of the connection's request, and rejects the request if the total exceeds the
+  // limit.
+  void accountMemory(ConnectionId id);
+  void closeExpired();
 
   Loop& loop_;
   RequestSink& sink_;
   Counters& counters_;
   RequestNames names_;
-  std::size_t mostConnections_, mostBytes_, held_ = 0;
+  std::size_t maxConnections_, maxBytes_, heldBytes_ = 0;
   const RequestTrace* trace_;
   Fd listener_;
   bool ready_ = false, draining_ = false;
-  std::map<Number, Connection> connections_;
-  Number lastNumber_ = 0;
-  Loop::Timer sweepTimer_ = Loop::kNoTimer;
+  std::map<ConnectionId, Connection> connections_;
+  ConnectionId lastId_ = 0;
+  Loop::Timer expiryTimer_ = Loop::kNoTimer;
   Loop::Timer acceptTimer_ = Loop::kNoTimer;
 };
 
--- a/src/inbound/http_server_connections.cpp
+++ b/src/inbound/http_server_connections.cpp
@@ -1,4 +1,4 @@
-// What an Inbound does with one connection: reads requests, offers them, writes answers.
+// HttpServer: how one connection is served, from reading requests to writing answers.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -10,239 +10,241 @@
 namespace myrtleloft {
 namespace {
 
-constexpr const char* kFullComeBackS = "1.000";  // with no memory for a request
-// A request that lay unread for longer counts as read late: as long as the loop's poll may be old.
+constexpr const char* kOverloadRetryAfterS = "1.000";  // if the memory limit is reached
+// A request that was unread for longer than this is counted as read late.
 constexpr double kReadLateMs = Loop::kMaxPollAgeMs;
 
 }  // namespace
 
-void HttpServer::onEvents(Number number, short revents) {
-  if (!connections_.count(number)) return;
-  if (revents & POLLERR) return onReset(number);
-  if (revents & POLLOUT) flush(number);
-  if (connections_.count(number) && (revents & (POLLIN | POLLHUP))) readAndServe(number);
-  if (connections_.count(number)) weigh(number);
+void HttpServer::onEvents(ConnectionId id, short revents) {
+  if (!connections_.count(id)) return;
+  if (revents & POLLERR) return onReset(id);
+  if (revents & POLLOUT) flush(id);
+  if (connections_.count(id) && (revents & (POLLIN | POLLHUP))) readAndServe(id);
+  if (connections_.count(id)) accountMemory(id);
 }
 
-void HttpServer::weigh(Number number) {
-  Connection& c = connections_.at(number);
-  // While a request waits for its answer, whoever has it holds what was read of it.
-  const std::size_t read = c.reader.held() + (c.unsure ? c.unsure->body.capacity() : 0);
-  const std::size_t now = c.waiting.empty() ? read : std::max(c.held, read);
-  held_ += now - c.held;
-  c.held = now;
-  if (held_ <= mostBytes_ || c.stage() != Stage::kBegun) return;
+void HttpServer::accountMemory(ConnectionId id) {
+  Connection& client = connections_.at(id);
+  // While a request is unanswered, its recipient holds its bytes, so the larger value is kept.
+  const std::size_t read =
+      client.reader.memoryBytes() + (client.undecided ? client.undecided->body.capacity() : 0);
+  const std::size_t now = client.requestId.empty() ? read : std::max(client.heldBytes, read);
+  heldBytes_ += now - client.heldBytes;
+  client.heldBytes = now;
+  if (heldBytes_ <= maxBytes_ || client.stage() != Stage::kReadingRequest) return;
   ++counters_.failFastFull;
-  refuse(number, 503, {{"Retry-After", kFullComeBackS}});
+  rejectAndClose(id, 503, {{"Retry-After", kOverloadRetryAfterS}});
 }
 
-void HttpServer::readAndServe(Number number) {
-  Connection& c = connections_.at(number);
-  const bool begins = c.stage() == Stage::kIdle;
-  c.arrivals.beforeRead(look(c.fd));
-  const Io io = readSome(c.fd, c.reader.buffer());
+void HttpServer::readAndServe(ConnectionId id) {
+  Connection& client = connections_.at(id);
+  const bool begins = client.stage() == Stage::kIdle;
+  client.arrivals.beforeRead(observe(client.fd));
+  const Io io = readSome(client.fd, client.reader.buffer());
   if (io == Io::kWouldBlock) return;
-  c.arrivals.afterRead(!hasUnreadBytes(c.fd));
-  // A request's patience runs from its first bytes: a client that trickles must not hold a connection for
-  // ever.
-  if (begins) c.sinceMs = c.arrivals.lastByteMs();
-  if (io == Io::kFailed) return onReset(number);
-  if (io == Io::kClosed) return onHalfClose(number);
-  if (c.lingering) {
-    c.dropped += c.reader.buffer().size();
-    c.reader.buffer().clear();
-    if (c.dropped > kLingerBytes) drop(number, CloseReason::kFlooded);
-  } else if (!c.waiting.empty()) {
-    onInputWhileAsked(number);
+  client.arrivals.afterRead(!hasUnreadBytes(client.fd));
+  // The timeout of a request runs from its first bytes, so that a slow client cannot hold a connection
+  // forever.
+  if (begins) client.sinceMs = client.arrivals.lastByteMs();
+  if (io == Io::kFailed) return onReset(id);
+  if (io == Io::kClosed) return onHalfClose(id);
+  if (client.lingering) {
+    client.droppedBytes += client.reader.buffer().size();
+    client.reader.buffer().clear();
+    if (client.droppedBytes > kLingerBytes) close(id, CloseReason::kFlooded);
+  } else if (!client.requestId.empty()) {
+    onInputWhileAwaiting(id);
   } else {
-    serve(number);
+    serve(id);
   }
 }
 
-// Its request waits for its answer. One more behind it is not read any further until then.
-void HttpServer::onInputWhileAsked(Number number) {
-  Connection& c = connections_.at(number);
-  const Behind more = behind(c.reader.buffer());
-  if (more == Behind::kRequest) return loop_.setEvents(c.fd.get(), 0);
-  if (more != Behind::kRest) return;
+// Called for input while a request is unanswered. If it is a pipelined request, reading is paused until the
+// answer.
+void HttpServer::onInputWhileAwaiting(ConnectionId id) {
+  Connection& client = connections_.at(id);
+  const TrailingBytes trailing = classifyTrailing(client.reader.buffer());
+  if (trailing == TrailingBytes::kRequest) return loop_.setEvents(client.fd.get(), 0);
+  if (trailing != TrailingBytes::kGarbage) return;
   ++counters_.hangUps;
-  sink_.onClientDisconnect(c.waiting);
-  c.waiting.clear();
-  refuse(number, 400);  // see onMessage
+  sink_.onClientDisconnect(client.requestId);
+  client.requestId.clear();
+  rejectAndClose(id, 400);  // for the reason, see onMessage
 }
 
-void HttpServer::onHalfClose(Number number) {
-  Connection& c = connections_.at(number);
-  if (c.lingering) return drop(number, c.why);
-  c.halfClosed = true;
-  // Only its sending may have ended: what it has asked is still answered.
-  if (!c.waiting.empty()) return loop_.setEvents(c.fd.get(), 0);
-  if (!c.out.empty()) return loop_.setEvents(c.fd.get(), POLLOUT);
-  if (c.stage() == Stage::kBegun) return refuse(number, 400);  // half a request, and no more will come
-  drop(number, CloseReason::kClientEnded);
+void HttpServer::onHalfClose(ConnectionId id) {
+  Connection& client = connections_.at(id);
+  if (client.lingering) return close(id, client.closeReason);
+  client.halfClosed = true;
+  // The client may have shut down only its sending side, so an open request is still answered.
+  if (!client.requestId.empty()) return loop_.setEvents(client.fd.get(), 0);
+  if (!client.out.empty()) return loop_.setEvents(client.fd.get(), POLLOUT);
+  if (client.stage() == Stage::kReadingRequest) return rejectAndClose(id, 400);  // the request is truncated
+  close(id, CloseReason::kClientEnded);
 }
 
-void HttpServer::onReset(Number number) {
-  const Connection& c = connections_.at(number);
-  if (!c.waiting.empty()) {
+void HttpServer::onReset(ConnectionId id) {
+  const Connection& client = connections_.at(id);
+  if (!client.requestId.empty()) {
     ++counters_.hangUps;
-    sink_.onClientDisconnect(c.waiting);
-  } else if (c.stage() == Stage::kBegun) {
+    sink_.onClientDisconnect(client.requestId);
+  } else if (client.stage() == Stage::kReadingRequest) {
     ++counters_.malformed;
   }
-  drop(number, CloseReason::kBroken);
+  close(id, CloseReason::kBroken);
 }
 
-// Answers one request after the other; while one waits for its answer, the next stays unread.
-void HttpServer::serve(Number number) {
+// Handles buffered requests one after the other. While one is unanswered, the next is not parsed.
+void HttpServer::serve(ConnectionId id) {
   for (;;) {
-    const auto at = connections_.find(number);
+    const auto at = connections_.find(id);
     if (at == connections_.end()) return;
-    Connection& c = at->second;
-    if (!c.waiting.empty() || !c.out.empty() || c.lingering) return;
-    if (c.unsure) {
-      if (behind(c.reader.buffer()) == Behind::kUnsure) return loop_.setEvents(c.fd.get(), POLLIN);
-      return onMessage(number, *std::exchange(c.unsure, std::nullopt));
+    Connection& client = at->second;
+    if (!client.requestId.empty() || !client.out.empty() || client.lingering) return;
+    if (client.undecided) {
+      if (classifyTrailing(client.reader.buffer()) == TrailingBytes::kIncomplete)
+        return loop_.setEvents(client.fd.get(), POLLIN);
+      return onMessage(id, *std::exchange(client.undecided, std::nullopt));
     }
-    const auto state = c.reader.advance();
+    const auto state = client.reader.advance();
     if (state == HttpReader::State::kMore) {
-      loop_.setEvents(c.fd.get(), POLLIN);
-      if (!c.reader.expectsContinue()) return;
-      c.reader.continued();
-      c.out = "HTTP/1.1 100 Continue\r\n\r\n";
-      return flush(number);
+      loop_.setEvents(client.fd.get(), POLLIN);
+      if (!client.reader.expectsContinue()) return;
+      client.reader.markContinueSent();
+      client.out = "HTTP/1.1 100 Continue\r\n\r\n";
+      return flush(id);
     }
-    if (state == HttpReader::State::kBad) return refuse(number, c.reader.errorStatus());
-    c.requestMs = c.arrivals.requestMs(c.reader.buffer().empty());
-    onMessage(number, c.reader.take());
-    if (!connections_.count(number) || !c.unsure) return;
+    if (state == HttpReader::State::kBad) return rejectAndClose(id, client.reader.errorStatus());
+    client.requestMs = client.arrivals.requestMs(client.reader.buffer().empty());
+    onMessage(id, client.reader.take());
+    if (!connections_.count(id) || !client.undecided) return;
   }
 }
 
-void HttpServer::onMessage(Number number, HttpMessage message) {
-  Connection& c = connections_.at(number);
-  c.keepAlive = message.keepAlive;
-  const std::string_view part = firstPart(message.target);
+void HttpServer::onMessage(ConnectionId id, HttpMessage message) {
+  Connection& client = connections_.at(id);
+  client.keepAlive = message.keepAlive;
+  const std::string_view className = firstSegment(message.target);
   if (path(message.target) == "/up") {
-    if (message.method == "GET") return reply(number, ready_ ? 200 : 503);
+    if (message.method == "GET") return reply(id, ready_ ? 200 : 503);
     ++counters_.malformed;
-    return reply(number, 405, {{"Allow", "GET"}});
+    return reply(id, 405, {{"Allow", "GET"}});
   }
-  const bool known = positionOf(names_.classes, part).has_value();
-  if (message.method != "POST" || part.empty()) {
+  const bool known = indexOfName(names_.classes, className).has_value();
+  if (message.method != "POST" || className.empty()) {
     ++counters_.malformed;
-    if (known) return reply(number, 405, {{"Allow", "POST"}});
-    return reply(number, 404);
+    if (known) return reply(id, 405, {{"Allow", "POST"}});
+    return reply(id, 404);
   }
   auto request = readRequest(message, names_);
   if (!request) {
     ++counters_.malformed;
-    return reply(number, 400);
+    return reply(id, 400);
   }
-  // A client may send the next request ahead. Any other bytes behind one say that its length was wrong, so
-  // that its body is not what was meant: it is not taken on. What comes a little later, but before the
-  // answer, says the same; where it cannot be told yet, more is waited for.
-  switch (behind(c.reader.buffer())) {
-    case Behind::kRest:
-      return refuse(number, 400);
-    case Behind::kUnsure:
-      c.unsure = std::move(message);
+  // A client may pipeline the next request. Any other bytes after a request mean that its Content-Length was
+  // wrong and its body is truncated, so it is rejected. The same holds for bytes that arrive later, but
+  // before the answer. If the bytes are too few to decide, the request is held until more arrive.
+  switch (classifyTrailing(client.reader.buffer())) {
+    case TrailingBytes::kGarbage:
+      return rejectAndClose(id, 400);
+    case TrailingBytes::kIncomplete:
+      client.undecided = std::move(message);
       return;
-    case Behind::kNothing:
-    case Behind::kRequest:
+    case TrailingBytes::kNothing:
+    case TrailingBytes::kRequest:
       break;
   }
-  request->arrivedMs = c.requestMs;
-  offer(number, std::move(*request));
+  request->arrivedMs = client.requestMs;
+  forward(id, std::move(*request));
 }
 
-void HttpServer::offer(Number number, IncomingRequest request) {
-  Connection& c = connections_.at(number);
+void HttpServer::forward(ConnectionId id, IncomingRequest request) {
+  Connection& client = connections_.at(id);
   ++counters_.requests;
   const double unreadMs = loop_.nowMs() - request.arrivedMs;
   if (unreadMs > kReadLateMs) ++counters_.readLate;
   counters_.maxUnreadMs = std::max(counters_.maxUnreadMs, unreadMs);
   if (trace_) trace_->received(request.id, unreadMs, request.timeLeftMs - unreadMs);
-  c.waiting = request.id;
-  // One request is held of a client, and what was read with it, no more.
-  loop_.setEvents(c.fd.get(), c.halfClosed || !c.reader.buffer().empty() ? 0 : POLLIN);
-  sink_.onRequest(std::move(request), [this, number](const Answer& answer) { onAnswer(number, answer); });
+  client.requestId = request.id;
+  // Reads no more than one request ahead.
+  loop_.setEvents(client.fd.get(), client.halfClosed || !client.reader.buffer().empty() ? 0 : POLLIN);
+  sink_.onRequest(std::move(request), [this, id](const Answer& answer) { onAnswer(id, answer); });
 }
 
-void HttpServer::onAnswer(Number number, const Answer& answer) {
-  const auto at = connections_.find(number);
+void HttpServer::onAnswer(ConnectionId id, const Answer& answer) {
+  const auto at = connections_.find(id);
   if (at == connections_.end()) return;
-  at->second.waiting.clear();
+  at->second.requestId.clear();
   switch (answer.kind) {
     case Answer::Kind::kAccepted:
-      return reply(number, 202);
+      return reply(id, 202);
     case Answer::Kind::kFailed:
-      return reply(number, 500);
+      return reply(id, 500);
     case Answer::Kind::kMalformed:
       ++counters_.malformed;
-      return reply(number, 400);
+      return reply(id, 400);
     case Answer::Kind::kRejected:
     case Answer::Kind::kQuotaExceeded:
       break;
   }
   const int status = answer.kind == Answer::Kind::kQuotaExceeded ? 429 : 503;
-  if (answer.retryAfterMs <= 0) return reply(number, status);
+  if (answer.retryAfterMs <= 0) return reply(id, status);
   char seconds[32];
   std::snprintf(seconds, sizeof seconds, "%.3f", answer.retryAfterMs / 1000);
-  reply(number, status, {{"Retry-After", seconds}});
+  reply(id, status, {{"Retry-After", seconds}});
 }
 
-// What cannot be used, and nothing more of its connection: where the next message would begin is not to be
-// trusted.
-void HttpServer::refuse(Number number, int status, const Headers& headers) {
+// Answers an unusable request and closes the connection, because the start of the next message is unknown.
+void HttpServer::rejectAndClose(ConnectionId id, int status, const Headers& headers) {
   if (status < 500) ++counters_.malformed;
-  Connection& c = connections_.at(number);
-  c.keepAlive = false;
-  c.unsure.reset();
-  reply(number, status, headers);
+  Connection& client = connections_.at(id);
+  client.keepAlive = false;
+  client.undecided.reset();
+  reply(id, status, headers);
 }
 
-void HttpServer::reply(Number number, int status, const Headers& headers, std::string_view body) {
-  Connection& c = connections_.at(number);
-  // The last answer is that to the last request that was read whole: its client cannot know that it was.
-  const bool last = draining_ || c.halfClosed;
-  if (last && c.keepAlive) c.keepAlive = c.reader.advance() == HttpReader::State::kDone;
-  c.out = writeAnswer(status, headers, body, c.keepAlive);
-  flush(number);
+void HttpServer::reply(ConnectionId id, int status, const Headers& headers, std::string_view body) {
+  Connection& client = connections_.at(id);
+  // A connection that is to be closed still answers all requests that were read completely, because the
+  // client cannot know that they were.
+  const bool last = draining_ || client.halfClosed;
+  if (last && client.keepAlive) client.keepAlive = client.reader.advance() == HttpReader::State::kDone;
+  client.out = writeAnswer(status, headers, body, client.keepAlive);
+  flush(id);
 }
 
-void HttpServer::flush(Number number) {
-  Connection& c = connections_.at(number);
-  const Io io = writeSome(c.fd, c.out, c.written);
-  if (io == Io::kFailed) return drop(number, CloseReason::kWriteFailed);
-  if (io == Io::kWouldBlock) return loop_.setEvents(c.fd.get(), POLLOUT);
-  c.out = std::string();  // with its memory, as the reader does: an idle connection holds none
-  c.written = 0;
-  held_ -= std::exchange(c.held, 0);  // weighed anew with what comes next
-  c.answered = true;
-  c.sinceMs = loop_.nowMs();
-  if (!c.keepAlive) return endSending(number, CloseReason::kAnswered);
-  if (!c.reader.midMessage()) return loop_.setEvents(c.fd.get(), POLLIN);
-  // Sent ahead: served from the loop, one in a turn, and nothing more is read before.
-  loop_.setEvents(c.fd.get(), 0);
-  loop_.after(0, [this, number] {
-    serve(number);
-    if (connections_.count(number)) weigh(number);
+void HttpServer::flush(ConnectionId id) {
+  Connection& client = connections_.at(id);
+  const Io io = writeSome(client.fd, client.out, client.written);
+  if (io == Io::kFailed) return close(id, CloseReason::kWriteFailed);
+  if (io == Io::kWouldBlock) return loop_.setEvents(client.fd.get(), POLLOUT);
+  client.out = std::string();  // frees the memory, as an idle connection should hold none
+  client.written = 0;
+  heldBytes_ -= std::exchange(client.heldBytes, 0);  // recomputed with the next input
+  client.answered = true;
+  client.sinceMs = loop_.nowMs();
+  if (!client.keepAlive) return halfClose(id, CloseReason::kAnswered);
+  if (!client.reader.midMessage()) return loop_.setEvents(client.fd.get(), POLLIN);
+  // A pipelined request is handled from the loop, one per turn, without reading more input before.
+  loop_.setEvents(client.fd.get(), 0);
+  loop_.after(0, [this, id] {
+    serve(id);
+    if (connections_.count(id)) accountMemory(id);
   });
 }
 
-// Closing while the client still sends, or in the instant in which it sends, would reset the connection and
-// an answer just written with it: the sending side ends, and what still comes is read and dropped for a
-// moment.
-void HttpServer::endSending(Number number, CloseReason why) {
-  Connection& c = connections_.at(number);
-  c.lingering = true;
-  c.why = why;
-  c.unsure.reset();
-  c.reader = HttpReader(HttpReader::Side::kRequest);
-  c.sinceMs = loop_.nowMs();
-  ::shutdown(c.fd.get(), SHUT_WR);
-  loop_.setEvents(c.fd.get(), POLLIN);
+// Closing a connection while the client is sending would reset it, and the client might lose the last answer.
+// So only the sending side is shut down, and further input is read and discarded for a short time.
+void HttpServer::halfClose(ConnectionId id, CloseReason closeReason) {
+  Connection& client = connections_.at(id);
+  client.lingering = true;
+  client.closeReason = closeReason;
+  client.undecided.reset();
+  client.reader = HttpReader(HttpReader::Side::kRequest);
+  client.sinceMs = loop_.nowMs();
+  ::shutdown(client.fd.get(), SHUT_WR);
+  loop_.setEvents(client.fd.get(), POLLIN);
 }
 
 }  // namespace myrtleloft
--- a/src/inbound/read_request.cpp
+++ b/src/inbound/read_request.cpp
@@ -8,7 +8,7 @@
 namespace myrtleloft {
 namespace {
 
-constexpr std::size_t kLongestId = 128, kLongestKey = 256;
+constexpr std::size_t kMaxIdBytes = 128, kMaxKeyBytes = 256;
 
 template <typename T>
 std::optional<T> parsed(std::string_view text) {
@@ -18,7 +18,7 @@
   return value;
 }
 
-// "dest=7", perhaps among other pairs.
+// Parses "dest=7", possibly among other pairs.
 std::optional<std::int64_t> destination(std::string_view addressing) {
   static constexpr std::string_view kName = "dest=";
   while (!addressing.empty()) {
@@ -43,37 +43,38 @@
 
 std::string_view path(std::string_view target) { return target.substr(0, target.find('?')); }
 
-// "POST /notice HTTP/1.1" and CR LF. Stricter than the reader, which takes any token for a method: what
-// stands here may be the rest of somebody's body.
-Behind behind(std::string_view bytes) {
-  constexpr std::size_t kLongestMethod = 7;  // OPTIONS, CONNECT
-  if (bytes.empty()) return Behind::kNothing;
+// Expects a request line such as "POST /notice HTTP/1.1" and CR LF. It is stricter than HttpReader, which
+// accepts any token as a method, because the bytes may be the rest of a body.
+TrailingBytes classifyTrailing(std::string_view bytes) {
+  constexpr std::size_t kMaxMethodBytes = 7;  // OPTIONS, CONNECT
+  if (bytes.empty()) return TrailingBytes::kNothing;
   const std::size_t space = bytes.find_first_not_of("ABCDEFGHIJKLMNOPQRSTUVWXYZ");
-  if (std::min(space, bytes.size()) > kLongestMethod) return Behind::kRest;
-  if (space == std::string_view::npos) return Behind::kUnsure;
-  if (space == 0 || bytes[space] != ' ') return Behind::kRest;
+  if (std::min(space, bytes.size()) > kMaxMethodBytes) return TrailingBytes::kGarbage;
+  if (space == std::string_view::npos) return TrailingBytes::kIncomplete;
+  if (space == 0 || bytes[space] != ' ') return TrailingBytes::kGarbage;
   const std::string_view target = bytes.substr(space + 1);
-  if (target.empty()) return Behind::kUnsure;
+  if (target.empty()) return TrailingBytes::kIncomplete;
   const auto end = std::find_if(target.begin(), target.end(), [](char c) { return c <= 0x20 || c == 0x7f; });
-  if (target.front() != '/') return Behind::kRest;
-  if (end == target.end()) return target.size() < kHeadLimit ? Behind::kUnsure : Behind::kRest;
+  if (target.front() != '/') return TrailingBytes::kGarbage;
+  if (end == target.end())
+    return target.size() < kHeadLimit ? TrailingBytes::kIncomplete : TrailingBytes::kGarbage;
   const std::string_view version = target.substr(static_cast<std::size_t>(end - target.begin()));
   for (const std::string_view whole : {" HTTP/1.1\r\n", " HTTP/1.0\r\n"}) {
-    if (version.starts_with(whole)) return Behind::kRequest;
-    if (whole.starts_with(version)) return Behind::kUnsure;
+    if (version.starts_with(whole)) return TrailingBytes::kRequest;
+    if (whole.starts_with(version)) return TrailingBytes::kIncomplete;
   }
-  return Behind::kRest;
+  return TrailingBytes::kGarbage;
 }
 
-// "/notice" or "/notice/more": its first part.
-std::string_view firstPart(std::string_view target) {
+// Returns "notice" for "/notice" and "/notice/more".
+std::string_view firstSegment(std::string_view target) {
   std::string_view rest = path(target);
   if (rest.empty() || rest.front() != '/') return {};
   rest.remove_prefix(1);
   return rest.substr(0, rest.find('/'));
 }
 
-std::optional<int> positionOf(const std::vector<std::string>& names, std::string_view name) {
+std::optional<int> indexOfName(const std::vector<std::string>& names, std::string_view name) {
   const auto at = std::find(names.begin(), names.end(), name);
   if (at == names.end()) return std::nullopt;
   return static_cast<int>(at - names.begin());
@@ -81,18 +82,19 @@
 
 std::optional<IncomingRequest> readRequest(const HttpMessage& message, const RequestNames& names) {
   IncomingRequest request;
-  const auto cls = positionOf(names.classes, firstPart(message.target));
+  const auto cls = indexOfName(names.classes, firstSegment(message.target));
   const auto to = destination(text(message, "X-Addressing"));
   const auto seconds = parsed<double>(text(message, "X-Timeout"));
   request.id = text(message, "X-Request-ID");
   request.key = text(message, "Idempotency-Key");
   if (!cls || !to || !seconds || !std::isfinite(*seconds) || *seconds < 0) return std::nullopt;
-  if (request.id.empty() || request.id.size() > kLongestId || request.key.size() > kLongestKey)
+  if (request.id.empty() || request.id.size() > kMaxIdBytes || request.key.size() > kMaxKeyBytes)
     return std::nullopt;
-  // Both travel on inside JSON: bytes that are no text would make a notice unreadable, and the end untold.
+  // Both are sent on inside JSON. Other bytes would make a notification invalid, so that the platform would
+  // never learn the final status.
   if (!printable(request.id) || !printable(request.key)) return std::nullopt;
   if (const std::string* tenant = message.header("X-Tenant-Id"); tenant && !names.tenants.empty()) {
-    const auto index = positionOf(names.tenants, *tenant);
+    const auto index = indexOfName(names.tenants, *tenant);
     if (!index) return std::nullopt;
     request.tenant = *index;
   }
--- a/src/inbound/read_request.h
+++ b/src/inbound/read_request.h
@@ -1,4 +1,4 @@
-// What a client's HTTP message asks for.
+// Conversion of a client's HTTP message into an IncomingRequest.
 #pragma once
 
 #include <optional>
@@ -13,26 +13,27 @@
 
 struct RequestNames {
   std::vector<std::string> classes, tenants;
-  std::string unitHeader{};  // that names a unit of the tenant; empty: none does
+  std::string unitHeader{};  // header that names the unit of a tenant; empty if there is none
 };
 
-// A request as HTTP carries it; nothing where it is unusable.
+// Returns std::nullopt if a header is missing, malformed or unknown.
 std::optional<IncomingRequest> readRequest(const HttpMessage& message, const RequestNames& names);
 
-// What stands behind a whole request among the bytes of its connection.
-enum class Behind {
+// Classifies the bytes that follow a complete request on its connection.
+enum class TrailingBytes {
   kNothing,
-  kRequest,  // a line that begins one more request
-  kUnsure,   // so far it may become such a line
-  kRest,     // anything else: the request's length was wrong
+  kRequest,     // the request line of another request
+  kIncomplete,  // possibly the beginning of a request line
+  kGarbage,     // anything else: the Content-Length of the request was wrong
 };
-Behind behind(std::string_view bytes);
+TrailingBytes classifyTrailing(std::string_view bytes);
 
-// Of a message's target: what is before the query; the first part of that, without its slash, empty where it
-// does not begin with one.
+// Returns the target without its query.
 std::string_view path(std::string_view target);
-std::string_view firstPart(std::string_view target);
-// Where `name` stands among `names`; nothing where it does not.
-std::optional<int> positionOf(const std::vector<std::string>& names, std::string_view name);
+// Returns the first segment of the path without its slash, or an empty view if the path does not begin with a
+// slash.
+std::string_view firstSegment(std::string_view target);
+// Returns the index of `name` in `names`, or std::nullopt.
+std::optional<int> indexOfName(const std::vector<std::string>& names, std::string_view name);
 
 }  // namespace myrtleloft
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -9,12 +9,12 @@
 namespace myrtleloft {
 namespace {
 
-// Turns in a row that may pass without a write because the poll was old by then. More of them is no stall but
-// a process that is too slow for its turns, and must still get on.
-constexpr int kMaxPutOffTurns = 3;
+// Maximum number of consecutive turns without a write because the poll was old. If it is exceeded, the
+// process has not been stopped but is always that slow, and must make progress all the same.
+constexpr int kMaxDeferredTurns = 3;
 bool isRejection(int status) { return status == 429 || status == 503; }
 
-constexpr int kReadsInTurn = 16;  // of 16 KiB: an answer without end must not keep the loop from the others
+constexpr int kMaxReadsPerTurn = 16;  // 16 KiB each, so that an endless answer does not block the loop
 
 }  // namespace
 
@@ -22,35 +22,35 @@
     : loop_(loop),
       fd_(connectTo(address)),
       reader_(HttpReader::Side::kAnswer, limits.bytes),
-      restMs_(limits.restMs) {
+      completionMs_(limits.completionMs) {
   if (fd_) loop_.watch(fd_.get(), POLLOUT, [this](short revents) { onEvents(revents); });
 }
 
-void ClientConnection::send(std::string bytes, Done done, Gate maySend) {
+void ClientConnection::send(std::string bytes, Done done, SendCheck maySend) {
   out_ = std::move(bytes);
   written_ = 0;
   writeFailed_ = false;
   done_ = std::move(done);
-  mayLeave_ = std::move(maySend);
+  maySend_ = std::move(maySend);
   loop_.setEvents(fd_.get(), POLLIN | POLLOUT);
 }
 
 void ClientConnection::close() {
   if (!fd_) return;
-  loop_.cancel(restTimer_);
+  loop_.cancel(completionTimer_);
   loop_.unwatch(fd_.get());
   fd_.reset();
   done_ = nullptr;
-  mayLeave_ = nullptr;
+  maySend_ = nullptr;
 }
 
 void ClientConnection::onEvents(short revents) {
   if (!connected_) {
-    // Some failures leave no error, only a hang-up.
+    // Some failures set no error on the socket and only report POLLHUP.
     if (pendingError(fd_) != 0 || !(revents & (POLLIN | POLLOUT))) return finish(End::kNotSent);
     connected_ = true;
   }
-  if (!done_) {  // no call yet: whatever comes, it answers none
+  if (!done_) {  // no call yet, so incoming bytes cannot be an answer
     if (revents & (POLLIN | POLLHUP | POLLERR))
       close();
     else
@@ -58,41 +58,43 @@
     return;
   }
   if (revents & POLLOUT) return write();
-  read();  // ahead of the call's first byte it may be a refusal of what the connection will bring
+  read();  // before the call's first byte is written, these may be a rejection of the call
 }
 
 void ClientConnection::write() {
-  // An answer that lies unread may state a wait, and a list that the endpoint drains.
-  if (loop_.pollIsOld() && ++putOffTurns_ <= kMaxPutOffTurns) return;
-  putOffTurns_ = 0;
-  if (!begun() && mayLeave_ && !mayLeave_()) return finish(End::kWithheld);
+  // An unread answer may state a Retry-After, and an unread endpoint list that this endpoint drains.
+  if (loop_.pollIsOld() && ++deferredTurns_ <= kMaxDeferredTurns) return;
+  deferredTurns_ = 0;
+  if (!begun() && maySend_ && !maySend_()) return finish(End::kWithheld);
   const Io moved = writeSome(fd_, out_, written_);
-  // An endpoint may have answered what it had of the call, and gone, in the instant of this write: a wait
-  // that it told must be known. What stands there before a call's first byte is no answer to it.
+  // The endpoint may have answered the part of the call that it received, and closed the connection, just
+  // before this write: a Retry-After in that answer must be read. Before the call's first byte there can be
+  // no answer to it.
   writeFailed_ = moved == Io::kFailed;
   if (writeFailed_) return begun() ? read() : finish(End::kNotSent);
   if (moved == Io::kProgress) loop_.setEvents(fd_.get(), POLLIN);
 }
 
-void ClientConnection::endSending() {
+void ClientConnection::halfClose() {
   ::shutdown(fd_.get(), SHUT_WR);
   loop_.setEvents(fd_.get(), POLLIN);
 }
 
 bool ClientConnection::processUnread() {
   if (!fd_ || !done_ || !begun() || !hasInput(fd_)) return false;
-  bool over = false;
+  bool finished = false;
   const Done done = done_;
-  done_ = [&over, &done](Result result) {
-    over = true;
+  done_ = [&finished, &done](Result result) {
+    finished = true;
     done(std::move(result));
   };
   read();
-  if (!over) done_ = done;
-  return over;
+  if (!finished) done_ = done;
+  return finished;
 }
 
-// The clock is read behind the age: where the process stands in between, the bytes seem to have come later.
+// The clock is read after the age. If the process is stopped in between, the result is later than the true
+// time, so that it stays an upper bound.
 double ClientConnection::unreadArrivedMs() const {
   const std::optional<double> ageMs = lastArrivalAgeMs(fd_);
   const double nowMs = loop_.nowMs();
@@ -100,7 +102,7 @@
 }
 
 void ClientConnection::read() {
-  for (int i = 0; i < kReadsInTurn; ++i) {
+  for (int i = 0; i < kMaxReadsPerTurn; ++i) {
     const double arrivedMs = unreadArrivedMs();
     const Io moved = readSome(fd_, reader_.buffer());
     if (moved == Io::kProgress) arrivedMs_ = arrivedMs;
@@ -109,37 +111,38 @@
     auto state = moved == Io::kProgress ? reader_.advance() : HttpReader::State::kBad;
     if (moved == Io::kClosed) state = reader_.finish();
     if (state == HttpReader::State::kMore) {
-      armRest();
+      armCompletionTimer();
       continue;
     }
     if (state == HttpReader::State::kDone) return finish(End::kAnswered, reader_.take());
     if (reader_.partial().status == 0 && !lastByteWritten()) return finish(End::kNotSent);
     const End end =
-        answerBegun() ? End::kInvalidAnswer : End::kBroken;  // asked first: taken, it is forgotten
+        answerBegun() ? End::kInvalidAnswer : End::kBroken;  // before take(), which resets the reader
     return finish(end, reader_.take());
   }
 }
 
-// An answer that began and does not go on, as behind a length that promises more than comes, holds a slot of
-// the endpoint and one of ours.
-void ClientConnection::armRest() {
+// Limits how long an incomplete answer may take, for example one whose Content-Length is larger than its
+// body: it occupies a call slot of the endpoint and one of the relay.
+void ClientConnection::armCompletionTimer() {
   if (!answerBegun())
-    return loop_.cancel(restTimer_);  // an interim answer at most: the real one may take long
-  if (restTimer_ != Loop::kNoTimer) return;
-  restTimer_ = loop_.after(restMs_, [this] {
-    restTimer_ = Loop::kNoTimer;
+    return loop_.cancel(completionTimer_);  // at most an interim answer; the final one may take longer
+  if (completionTimer_ != Loop::kNoTimer) return;
+  completionTimer_ = loop_.after(completionMs_, [this] {
+    completionTimer_ = Loop::kNoTimer;
     finish(End::kInvalidAnswer, reader_.take(), true);
   });
 }
 
 void ClientConnection::finish(End end, HttpMessage answer, bool stalled) {
   const Done done = std::exchange(done_, nullptr);
-  loop_.cancel(restTimer_);
-  const bool answerCame = end == End::kAnswered || end == End::kInvalidAnswer;
-  const bool unsolicited = (answerCame && !begun()) || (end == End::kAnswered && !reader_.buffer().empty());
-  // The peer starts a call once its last byte has come. Ahead of that it may reject the call, and say when to
-  // come back; anything else answers no call.
-  if (answerCame && !lastByteWritten() && !isRejection(answer.status)) end = End::kNotSent;
+  loop_.cancel(completionTimer_);
+  const bool answerReceived = end == End::kAnswered || end == End::kInvalidAnswer;
+  const bool unsolicited =
+      (answerReceived && !begun()) || (end == End::kAnswered && !reader_.buffer().empty());
+  // The peer executes a call only after its last byte has arrived. Before that it can only reject the call,
+  // possibly with a Retry-After; anything else is not an answer to this call.
+  if (answerReceived && !lastByteWritten() && !isRejection(answer.status)) end = End::kNotSent;
   close();
   if (done) done({end, std::move(answer), stalled, arrivedMs_, unsolicited});  // may destroy this connection
 }
--- a/src/net/client_connection.h
+++ b/src/net/client_connection.h
@@ -1,13 +1,13 @@
-// One connection that the relay opened, for one call: it is closed when the call is over.
+// An outgoing HTTP/1.1 connection that carries a single call and is closed when the call ends.
 //
 //   ClientConnection connection(loop, address);
 //   connection.send(request, [&](ClientConnection::Result result) { ... });
 //
-// An HTTP/1.1 answer names no call: it belongs to one by its place on the connection alone. Behind a first
-// call that place is not proven, since a peer that answers twice shifts all answers behind it, and a copy
-// that is on its way cannot be told from a quick answer. So no connection carries a second call.
+// Connections are not reused. An HTTP/1.1 answer is matched to its call only by its position on the
+// connection. If a peer answers a call twice, all later answers are shifted by one, and a delayed duplicate
+// cannot be distinguished from a fast answer to the next call.
 //
-// One thread, that of the loop; nothing waits or throws. Cost: one connection for each call.
+// Used from the loop's thread only; functions neither block nor throw. Cost: one connection for each call.
 #pragma once
 
 #include <functional>
@@ -22,24 +22,28 @@
 class ClientConnection {
  public:
   enum class End {
-    kAnswered,       // a whole answer; ahead of the call's last byte only one that rejects it, 429 or 503
-    kInvalidAnswer,  // one that cannot be read, or did not go on: `answer` holds what could be made out
-    kWithheld,       // it might not leave, when its first byte was to be written
-    // It never came up, or broke before the last byte was written, or something else than a rejection came
-    // ahead of that byte: the peer cannot have acted.
+    // A complete answer. One that arrives before the call's last byte is written must be a rejection (429 or
+    // 503).
+    kAnswered,
+    kInvalidAnswer,  // a malformed or stalled answer: `answer` holds the part that could be parsed
+    kWithheld,       // the send check returned false when the first byte was about to be written
+    // The connection failed before the call's last byte was written, or anything but a rejection arrived
+    // before then: the peer cannot have executed the call.
     kNotSent,
-    kBroken,  // it broke after that
+    kBroken,  // the connection failed after the last byte was written
   };
   struct AnswerLimits {
     std::size_t bytes = kBodyLimit;
-    double restMs = 500;  // from its first byte to its last
+    double completionMs = 500;  // time allowed from the first byte to the last
   };
   struct Result {
     End end = End::kBroken;
     HttpMessage answer;
-    bool stalled = false;  // of a spoilt one: it had begun, and did not go on
-    double arrivedMs = 0;  // when the last bytes that were read came, at the latest; on the loop's clock
-    // Bytes came that answer no call: behind the answer, or ahead of the call's first byte.
+    bool stalled = false;  // of an invalid answer: its bytes stopped arriving before it was complete
+    // The latest time at which the last bytes that were read may have arrived, on the loop's clock.
+    double arrivedMs = 0;
+    // Bytes arrived that do not answer the call: after the answer, or before the call's first byte was
+    // written.
     bool unsolicited = false;
   };
   using Done = std::function<void(Result)>;
@@ -50,48 +54,50 @@
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  bool open() const { return static_cast<bool>(fd_); }  // false also where no descriptor could be had
-  using Gate = std::function<bool()>;
-  // Starts the call, or replaces it while no byte of it is written; `done` comes once, unless close() comes
-  // first, and may destroy this connection. `maySend`, if any, is asked just before the first byte is
-  // written, again where it could not be.
-  void send(std::string bytes, Done done, Gate maySend = nullptr);
+  // Returns false after close() and if no descriptor was available.
+  bool open() const { return static_cast<bool>(fd_); }
+  using SendCheck = std::function<bool()>;
+  // Starts the call, or replaces it as long as no byte of it is written. `done` is called once, unless
+  // close() is called first, and may destroy this connection. `maySend`, if set, is called just before the
+  // first byte is written, and again if that byte could not be written.
+  void send(std::string bytes, Done done, SendCheck maySend = nullptr);
   bool connected() const { return connected_; }
   bool begun() const { return written_ > 0; }  // the call's first byte is written
   bool lastByteWritten() const { return connected_ && written_ == out_.size(); }
   bool answerBegun() const { return reader_.midMessage(); }
-  // Of an answer that has only begun; its status is 0 until its first line is in.
-  const HttpMessage& answerSoFar() const { return reader_.partial(); }
-  // When its last bytes that were read came, at the latest.
+  // Returns what has been parsed of an incomplete answer. The status is 0 until the first line is complete.
+  const HttpMessage& partialAnswer() const { return reader_.partial(); }
+  // Returns the latest time at which the last bytes that were read may have arrived.
   double answerArrivedMs() const { return arrivedMs_; }
   void close();
-  // Ends its sending, which gives the call up; what the peer had written before it learns so still comes.
-  void endSending();
-  // Takes in what has come and was not read yet, without writing on. Whether the call is over with that:
-  // `done` has been called then, and may have destroyed this connection.
+  // Shuts down the sending side to abandon the call. An answer that the peer wrote before it noticed still
+  // arrives.
+  void halfClose();
+  // Reads and parses the bytes that have arrived, without writing. Returns true if that ended the call:
+  // `done` has then been called and may have destroyed this connection.
   bool processUnread();
 
  private:
   void onEvents(short revents);
   void write();
   void read();
-  // When the bytes came that lie unread, at the latest.
+  // Returns the latest time at which the unread bytes may have arrived.
   double unreadArrivedMs() const;
-  void armRest();
+  void armCompletionTimer();
   void finish(End end, HttpMessage answer = {}, bool stalled = false);
 
   Loop& loop_;
   Fd fd_;
   HttpReader reader_;
-  double restMs_;
-  Loop::Timer restTimer_ = Loop::kNoTimer;
+  double completionMs_;
+  Loop::Timer completionTimer_ = Loop::kNoTimer;
   std::string out_;
   std::size_t written_ = 0;
-  double arrivedMs_ = 0;  // when the last bytes that were read came, at the latest
-  int putOffTurns_ = 0;   // in a row, in which nothing was written because the loop's poll was old
+  double arrivedMs_ = 0;   // see answerArrivedMs
+  int deferredTurns_ = 0;  // consecutive turns without a write because the loop's poll was old
   bool connected_ = false, writeFailed_ = false;
   Done done_;
-  Gate mayLeave_;
+  SendCheck maySend_;
 };
 
 }  // namespace myrtleloft
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -11,7 +11,7 @@
 
 const std::string* HttpMessage::header(std::string_view name) const {
   for (const auto& [key, value] : headers)
-    if (sameName(key, name)) return &value;
+    if (equalsIgnoreCase(key, name)) return &value;
   return nullptr;
 }
 
@@ -23,9 +23,9 @@
 
 HttpReader::State HttpReader::advance() {
   const State state = read();
-  buffer_.erase(0, used_);
-  scanned_ -= std::min(scanned_, used_);
-  used_ = 0;
+  buffer_.erase(0, consumed_);
+  scanned_ -= std::min(scanned_, consumed_);
+  consumed_ = 0;
   return state;
 }
 
@@ -48,24 +48,24 @@
   firstLineRead_ = expectsContinue_ = false;
   headBytes_ = scanned_ = 0;
   if (buffer_.empty())
-    buffer_ = std::string();  // with its memory: a connection must not keep its largest size
+    buffer_ = std::string();  // frees the memory, so that an idle connection does not keep its largest buffer
   return message;
 }
 
-// One line ended by CR LF. A bare LF is refused: peers that disagree on where a line ends can be made to
-// disagree on where a message ends.
+// Takes one line that ends with CR LF. A bare LF is rejected: peers that disagree on where a line ends could
+// be made to disagree on where a message ends (request smuggling).
 bool HttpReader::takeLine(std::string& line) {
-  const std::size_t end = buffer_.find('\n', std::max(scanned_, used_));
-  const std::size_t size = (end == std::string::npos ? buffer_.size() : end + 1) - used_;
+  const std::size_t end = buffer_.find('\n', std::max(scanned_, consumed_));
+  const std::size_t size = (end == std::string::npos ? buffer_.size() : end + 1) - consumed_;
   const bool first = step_ == Step::kHead && !firstLineRead_;
   if (headBytes_ + size > kHeadLimit) return fail(first ? 414 : 431), false;
   if (end == std::string::npos) {
     scanned_ = buffer_.size();
     return false;
   }
-  if (end == used_ || buffer_[end - 1] != '\r') return fail(400), false;
-  line.assign(buffer_, used_, end - 1 - used_);
-  used_ += size;
+  if (end == consumed_ || buffer_[end - 1] != '\r') return fail(400), false;
+  line.assign(buffer_, consumed_, end - 1 - consumed_);
+  consumed_ += size;
   headBytes_ += size;
   return true;
 }
@@ -80,7 +80,7 @@
     } else if (!line.empty()) {
       if (!headerLine(line)) return fail(400), false;
     } else if (side_ == Side::kAnswer && message_.status < 200) {
-      message_ = HttpMessage();  // an interim answer: the real one follows
+      message_ = HttpMessage();  // an interim answer: the final one follows
       firstLineRead_ = false;
     } else {
       return beginBody();
@@ -99,8 +99,8 @@
   if (first == std::string_view::npos) return false;
   if (side_ == Side::kAnswer) {
     const auto status = parseNumber(line.substr(first + 1, 3), 10);
-    const bool ends = line.size() == first + 4 || (line.size() > first + 4 && line[first + 4] == ' ');
-    if (!versionFits(line.substr(0, first)) || !status || *status < 100 || !ends) return false;
+    const bool isTerminated = line.size() == first + 4 || (line.size() > first + 4 && line[first + 4] == ' ');
+    if (!versionFits(line.substr(0, first)) || !status || *status < 100 || !isTerminated) return false;
     message_.status = static_cast<int>(*status);
     return true;
   }
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 messages: an incremental reader for both directions, and writers. Knows nothing of sockets.
+// HTTP/1.1 messages: an incremental parser for requests and answers, and functions that serialize them. No
+// I/O.
 #pragma once
 
 #include <cstddef>
@@ -21,7 +22,7 @@
   std::string body;
   bool keepAlive = true;
 
-  // The first header of that name, whatever its case; nullptr: none.
+  // Returns the value of the first header with that name (case-insensitive), or nullptr if there is none.
   const std::string* header(std::string_view name) const;
 };
 
@@ -32,45 +33,51 @@
 
   explicit HttpReader(Side side, std::size_t bodyLimit = kBodyLimit) : side_(side), bodyLimit_(bodyLimit) {}
 
-  // Bytes may come in any pieces. After kDone the message can be taken, and what follows it stays.
+  // The caller appends received bytes to the buffer, in pieces of any size, and then calls advance().
   std::string& buffer() { return buffer_; }
+  // Parses the buffered bytes. After kDone the message can be taken.
   State advance();
-  // The peer closed: ends an answer whose body runs until then.
+  // To be called when the peer has closed the connection: completes an answer whose body is delimited by the
+  // close.
   State finish();
+  // Returns the parsed message, complete or not, and prepares for the next one. Bytes that follow the message
+  // stay in the buffer.
   HttpMessage take();
 
   int errorStatus() const { return errorStatus_; }  // after kBad: 400, 413, 414 or 431
-  // Memory that it holds, in bytes.
-  std::size_t held() const { return buffer_.capacity() + headBytes_ + message_.body.capacity(); }
+  // Approximate memory use.
+  std::size_t memoryBytes() const { return buffer_.capacity() + headBytes_ + message_.body.capacity(); }
   bool midMessage() const { return !buffer_.empty() || firstLineRead_ || step_ != Step::kHead; }
-  // What is in so far; the status of an answer as soon as its first line is.
+  // Returns what has been parsed so far. The status of an answer is set once its first line is complete.
   const HttpMessage& partial() const { return message_; }
   bool expectsContinue() const { return expectsContinue_ && step_ != Step::kHead && step_ != Step::kDone; }
-  void continued() { expectsContinue_ = false; }
+  void markContinueSent() { expectsContinue_ = false; }
 
  private:
   enum class Step { kHead, kLength, kChunkSize, kChunk, kChunkEnd, kTrailer, kUntilClose, kDone, kBad };
 
   State read();
   State fail(int status);
-  bool readHead();  // false: more needed, or failed
+  // readHead and takeLine return false if more bytes are needed or parsing has failed.
+  bool readHead();
   bool firstLine(std::string_view line);
   bool headerLine(std::string_view line);
-  bool takeLine(std::string& line);  // false: more needed, or failed
-  State withoutLine() const { return step_ == Step::kBad ? State::kBad : State::kMore; }
+  bool takeLine(std::string& line);
+  State stateWithoutLine() const { return step_ == Step::kBad ? State::kBad : State::kMore; }
 
-  // What a head says of where its body ends.
+  // How the headers delimit the body.
   struct Framing {
     std::optional<std::uint64_t> length;
     bool chunked = false;
   };
-  bool beginBody();  // false: failed
-  // Of a header that says nothing of it: nothing. false: it contradicts itself or an earlier one.
+  bool beginBody();  // returns false if the headers are invalid
+  // Updates `framing`, keepAlive and expectsContinue_ from one header; others are ignored. Returns false if
+  // the header is invalid or contradicts an earlier one.
   bool readFramingHeader(std::string_view name, std::string_view value, Framing& framing);
   State readBody();
-  // One of them at a time; none: the next one can go on at once.
+  // Reads one part of the body. Returns std::nullopt if the next part can be read at once.
   std::optional<State> readBodyStep();
-  std::optional<State> readPart(Step next);
+  std::optional<State> readBytes(Step next);
   std::optional<State> readChunkSize();
   std::optional<State> readChunkEnd();
   std::optional<State> readTrailer();
@@ -79,11 +86,12 @@
   Side side_;
   std::size_t bodyLimit_;
   std::string buffer_;
-  // Of the buffer: how much is used up, and how far no line's end was found. What is used up goes at the end
-  // of advance(), all at once: taken off line by line, 16 KiB of small chunks cost 8,000 moves of the rest.
-  std::size_t used_ = 0, scanned_ = 0;
+  // Offsets into the buffer: up to where it is consumed, and up to where it was searched for the end of a
+  // line. The consumed bytes are erased once at the end of advance(): erasing them line by line would move
+  // the rest of a 16 KiB buffer of small chunks 8,000 times.
+  std::size_t consumed_ = 0, scanned_ = 0;
   std::size_t headBytes_ = 0;
-  std::uint64_t left_ = 0;
+  std::uint64_t remaining_ = 0;
   Step step_ = Step::kHead;
   HttpMessage message_;
   bool firstLineRead_ = false, expectsContinue_ = false;
--- a/src/net/http_text.h
+++ b/src/net/http_text.h
@@ -1,4 +1,4 @@
-// What HTTP/1.1 makes of the text of a head: names, tokens, numbers, lists of words. For the reader alone.
+// Lexical helpers for HttpReader: case-insensitive names, tokens, numbers and comma-separated lists.
 #pragma once
 
 #include <algorithm>
@@ -9,17 +9,17 @@
 
 namespace myrtleloft {
 
-inline char lower(char letter) {
+inline char toLower(char letter) {
   return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + ('a' - 'A')) : letter;
 }
 
-// Names of headers and their words do not tell upper from lower case.
-inline bool sameName(std::string_view left, std::string_view right) {
-  return std::ranges::equal(left, right, {}, lower, lower);
+// Header names and keywords are case-insensitive.
+inline bool equalsIgnoreCase(std::string_view left, std::string_view right) {
+  return std::ranges::equal(left, right, {}, toLower, toLower);
 }
 
 inline bool isTokenCharacter(char character) {
-  return (character >= '0' && character <= '9') || (lower(character) >= 'a' && lower(character) <= 'z') ||
+  return (character >= '0' && character <= '9') || (toLower(character) >= 'a' && toLower(character) <= 'z') ||
          std::string_view("!#$%&'*+-.^_`|~").find(character) != std::string_view::npos;
 }
 inline bool isToken(std::string_view text) {
@@ -31,14 +31,14 @@
                      [](char character) { return character > 0x20 && character != 0x7f; });
 }
 
-// Without the blanks around it.
+// Returns the text without leading and trailing spaces and tabs.
 inline std::string_view trimmed(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
   while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
   return text;
 }
 
-// Digits alone; none: anything else, or too large.
+// Returns std::nullopt if the text is not made of digits only or the number is too large.
 inline std::optional<std::uint64_t> parseNumber(std::string_view text, int base) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
@@ -46,11 +46,11 @@
   return value;
 }
 
-// Whether a comma-separated list such as Connection's holds the word.
-inline bool lists(std::string_view list, std::string_view word) {
+// Returns true if a comma-separated list, such as the Connection header, contains the word.
+inline bool listContains(std::string_view list, std::string_view word) {
   for (std::size_t at = 0; at <= list.size();) {
     const std::size_t end = std::min(list.find(',', at), list.size());
-    if (sameName(trimmed(list.substr(at, end - at)), word)) return true;
+    if (equalsIgnoreCase(trimmed(list.substr(at, end - at)), word)) return true;
     at = end + 1;
   }
   return false;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -6,10 +6,10 @@
 
 namespace myrtleloft {
 namespace {
-constexpr double kLongestWaitMs = 1000;
-constexpr int kAfterErrorMs = 10;
-constexpr double kPollAtOnceMs = 1;                          // a poll that took no longer did not wait
-constexpr short kReadEvents = static_cast<short>(~POLLOUT);  // errors and hang-ups show by reading
+constexpr double kMaxWaitMs = 1000;
+constexpr int kPollErrorDelayMs = 10;
+constexpr double kImmediatePollMs = 1;                       // a poll up to this long did not wait
+constexpr short kReadEvents = static_cast<short>(~POLLOUT);  // errors and hang-ups are handled by reading
 }  // namespace
 
 void Loop::watch(int fd, short events, Handler handler) {
@@ -35,9 +35,9 @@
 }
 
 int Loop::waitMs() const {
-  if (timers_.empty()) return static_cast<int>(kLongestWaitMs);
-  // Rounded up: poll counts whole milliseconds, and rounding down would spin until the timer is due.
-  return static_cast<int>(std::ceil(std::clamp(timers_.begin()->first.first - nowMs(), 0.0, kLongestWaitMs)));
+  if (timers_.empty()) return static_cast<int>(kMaxWaitMs);
+  // Rounded up, because poll takes whole milliseconds and rounding down would spin until the timer is due.
+  return static_cast<int>(std::ceil(std::clamp(timers_.begin()->first.first - nowMs(), 0.0, kMaxWaitMs)));
 }
 
 void Loop::runOnce() {
@@ -59,7 +59,7 @@
   }
   polledAtMs_ = nowMs();
   const int ready = poll_(polled_.data(), polled_.size(), timeoutMs);
-  if (ready < 0 && errno != EINTR) ::poll(nullptr, 0, kAfterErrorMs);  // no memory for it: not to spin
+  if (ready < 0 && errno != EINTR) ::poll(nullptr, 0, kPollErrorDelayMs);  // e.g. ENOMEM; avoids spinning
   if (ready >= 0) recordQuiet(timeoutMs);
   if (ready <= 0) polled_.clear();
 }
@@ -67,15 +67,15 @@
 void Loop::recordQuiet(int timeoutMs) {
   const double returnedAtMs = nowMs();
   const double tookMs = returnedAtMs - polledAtMs_;
-  const bool waited = tookMs > kPollAtOnceMs;
-  const bool stood = tookMs > timeoutMs + kMaxPollAgeMs;
+  const bool waited = tookMs > kImmediatePollMs;
+  const bool stalled = tookMs > timeoutMs + kMaxPollAgeMs;
   auto polled = polled_.begin();
-  for (auto& [fd, watch] : watches_) {  // in the order of `polled_`, which was made from them
+  for (auto& [fd, watch] : watches_) {  // same order as `polled_`, which was built from it
     const pollfd& entry = *polled++;
     if ((entry.events & POLLIN) == 0) continue;
     const bool isQuiet = (entry.revents & kReadEvents) == 0;
     if (isQuiet) watch.quietAtMs = polledAtMs_;
-    if (stood)
+    if (stalled)
       watch.likelyQuietAtMs = polledAtMs_;
     else if (isQuiet || waited)
       watch.likelyQuietAtMs = returnedAtMs;
@@ -104,18 +104,19 @@
   for (std::size_t i = 0; i < polled_.size(); ++i) {
     const auto events = static_cast<short>(polled_[i].revents & mask);
     if (events == 0) continue;
-    // An earlier handler may have closed this descriptor, and its number may already name another one.
+    // An earlier handler may have closed this descriptor, and its number may have been reused.
     const auto at = watches_.find(polled_[i].fd);
     if (at == watches_.end() || at->second.serial != serials_[i]) continue;
-    // It may have ended the wish to write, too.
+    // An earlier handler may have cleared POLLOUT.
     if (mask == POLLOUT && (at->second.events & POLLOUT) == 0) continue;
-    const Handler handler = at->second.handler;  // a copy: the handler may forget itself
+    const Handler handler = at->second.handler;  // a copy, because the handler may unwatch itself
     handler(events);
   }
 }
 
 void Loop::runTimers() {
-  // Only those due now: a timer that sets itself again at once must not starve the descriptors.
+  // Only timers that are due now, so that one that rearms itself without delay does not starve the
+  // descriptors.
   const Timer limit{nowMs(), lastSerial_};
   if (!timers_.empty())
     maxTimerDelayMs_ = std::max(maxTimerDelayMs_, limit.first - timers_.begin()->first.first);
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,23 +1,26 @@
-// One poll(2) loop: descriptors and timers, nothing else. Handlers run one at a time and must not throw.
+// An event loop on poll(2) for descriptors and timers. Handlers run one at a time and must not throw.
 //
 //   Loop loop(clock);
 //   loop.watch(fd, POLLIN | POLLOUT, [&](short events) { ... });
 //   loop.after(100, [&] { ... });
 //   while (running) loop.runOnce();
 //
-// One turn polls, hands out all that can be read, then all that can be written, then runs the timers that are
-// due. So what a handler writes, and what a timer decides, takes account of all that had come by the poll,
-// whatever the numbers of the descriptors. The process may stand still at any point of a turn; what has come
-// meanwhile lies unread. Two things bound how old the poll may be by which something is written:
-// - before the writes and before the timers, a poll that is older than kMaxPollAgeMs is made once more,
-//   without waiting, and what it reports is read. So is a poll that has itself taken so long: the process may
-//   have stood between the kernel's look at the descriptors and its return.
-// - whoever writes what an unread message might forbid asks `pollIsOld` just before; if so it writes nothing,
-//   stays watched for POLLOUT, and is called again in the next turn, after the reads. It may have to give up
-//   asking after some turns: where all of them take so long, nothing would be written any more.
-// What comes between that question and the system call that follows it is not seen.
+// One turn polls, dispatches all read events, then all write events, then runs the timers that are due. So
+// whatever a handler writes and a timer decides takes account of all input that had arrived at the time of
+// the poll, regardless of the order of descriptors.
 //
-// Cost of a turn: O(watched descriptors), and O(log n) for each descriptor that is ready and each timer.
+// The process may be stopped at any point of a turn, and input that arrives meanwhile is unread. Two rules
+// bound the age of the poll on which a write is based:
+// - Before write events and before timers, a poll older than kMaxPollAgeMs is repeated without waiting, and
+//   its read events are dispatched. The same holds if the poll itself took that long, because the process may
+//   have been stopped after the kernel checked the descriptors.
+// - Code that writes something which unread input could forbid calls `pollIsOld` just before. If it returns
+//   true, the code writes nothing, keeps watching for POLLOUT, and is called again in the next turn, after
+//   the read events. It may have to write anyway after some turns: if every turn takes that long, it would
+//   otherwise never write.
+// Input that arrives between that check and the write is not seen.
+//
+// Cost of a turn: O(watched descriptors), and O(log n) for each ready descriptor and each timer.
 #pragma once
 
 #include <poll.h>
@@ -33,53 +36,55 @@
 
 namespace myrtleloft {
 
-// Used from one thread only. A handler or an action may watch, forget, set and cancel anything, itself
-// included.
+// Used from one thread only. Handlers and actions may call any function of the loop except runOnce, and may
+// unwatch or cancel themselves.
 class Loop {
  public:
-  // Called with the events that were reported: first with those that are about reading (all but POLLOUT), and
+  // Called with the reported events: first with the read events (all but POLLOUT, including errors), and
   // later in the same turn with POLLOUT.
   using Handler = std::function<void(short events)>;
-  using Timer = std::pair<double, std::uint64_t>;  // when it is due, in ms, and its number
+  using Timer = std::pair<double, std::uint64_t>;  // due time in milliseconds, serial number
   static constexpr Timer kNoTimer{0, 0};
-  // The protocol lets a call through that arrives within 100 ms of an answer that forbids it; the rest of
-  // that is for the way.
+  // The protocol tolerates a call that arrives up to 100 ms after an answer that forbids it. The remainder is
+  // left for the time on the network.
   static constexpr double kMaxPollAgeMs = 20;
   static constexpr double kNeverMs = -std::numeric_limits<double>::infinity();
-  // As poll(2).
+  // The signature of poll(2).
   using PollFunction = int (*)(pollfd* descriptors, nfds_t count, int timeoutMs);
 
-  // `clock` must outlive it.
+  // `clock` must outlive the loop.
   explicit Loop(const Clock& clock, PollFunction poll = &::poll) : clock_(clock), poll_(poll) {}
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  // From now on `handler` gets the descriptor's events, of those asked for, and its errors.
+  // Calls `handler` when one of the given events or an error occurs on the descriptor.
   void watch(int fd, short events, Handler handler);
-  // Changes the events asked for; nothing where the descriptor is not watched.
+  // Changes the watched events. Does nothing if the descriptor is not watched.
   void setEvents(int fd, short events);
-  // To be called before the descriptor is closed.
+  // Stops watching the descriptor; must be called before it is closed.
   void unwatch(int fd);
 
-  // Runs `action` once, in that many ms or a little later.
+  // Runs `action` once, after the given delay or a little later.
   Timer after(double delayMs, std::function<void()> action);
-  // Nothing where it has run already. `timer` is kNoTimer afterwards.
+  // Does nothing if the timer has already run. Sets `timer` to kNoTimer.
   void cancel(Timer& timer);
 
-  // Waits for the next events or timers and handles them.
+  // Runs one turn: waits for events or a due timer and handles them.
   void runOnce();
-  // On the clock that only goes forward.
+  // Milliseconds on the monotonic clock.
   double nowMs() const { return clock_.steadyMs(); }
-  // The latest moment of which it is known that nothing lay unread at `fd`: when the last poll began that
-  // watched it for reading and did not report it; before the first, kNeverMs.
+  // Returns the latest time at which `fd` is known to have had no unread input: the start of the last poll
+  // that watched it for reading and did not report it, or kNeverMs if there is none.
   double quietAtMs(int fd) const;
-  // The same, and later: a poll that saw it quiet did so until its return, and what ended the waiting of a
-  // poll came just then. Wrong where the process stands in a poll, by at most that poll's time-out and
-  // kMaxPollAgeMs; one that returns later than that counts from its beginning.
+  // A later estimate of the same time. It assumes that a descriptor which a poll did not report had no input
+  // until the poll returned, and that the input which ended a poll's wait arrived at its return. If the
+  // process is stopped inside a poll, the estimate is too late by at most the poll's timeout plus
+  // kMaxPollAgeMs; for a poll that takes longer than that, the time of its start is used.
   double likelyQuietAtMs(int fd) const;
-  // The longest by which a timer ran late, in ms: the process stood still, or a turn took long.
+  // The largest delay of a timer so far, in milliseconds. It is large if the process was stopped or a turn
+  // was slow.
   double maxTimerDelayMs() const { return maxTimerDelayMs_; }
-  // Whether the last poll began longer ago than kMaxPollAgeMs: something may have come that nobody has read.
+  // Returns true if the last poll began more than kMaxPollAgeMs ago, so that there may be unread input.
   bool pollIsOld() const { return nowMs() - polledAtMs_ > kMaxPollAgeMs; }
 
  private:
@@ -92,11 +97,11 @@
 
   int waitMs() const;
   void poll(int timeoutMs);
-  // After a poll that did not fail: notes of each descriptor watched for reading until when it was quiet.
+  // Updates the quiet times of all descriptors that are watched for reading, after a successful poll.
   void recordQuiet(int timeoutMs);
-  // Hands out the last poll's events, of those in `mask`.
+  // Calls the handlers for those events of the last poll that are in `mask`.
   void dispatch(short mask);
-  // Where the last poll is old: polls without waiting, and hands out what can be read.
+  // If the last poll is old, polls again without waiting and dispatches the read events.
   void readIfPollIsOld();
   void runTimers();
 
@@ -105,7 +110,7 @@
   std::map<int, Watch> watches_;
   std::map<Timer, std::function<void()>> timers_;
   std::vector<pollfd> polled_;
-  std::vector<std::uint64_t> serials_;  // of the watches in `polled_`
+  std::vector<std::uint64_t> serials_;  // serial numbers of the watches in `polled_`
   double polledAtMs_ = 0;               // when the last poll began
   double maxTimerDelayMs_ = 0;
   std::uint64_t lastSerial_ = 0;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -15,26 +15,24 @@
 namespace myrtleloft {
 namespace {
 
-constexpr int kMostFailures = 16;  // in a row, of reading what is to be dropped
+constexpr int kMaxFailures = 16;  // failed reads of one discardInput call
 
-void sendAtOnce(const Fd& fd) {
+void disableNagle(const Fd& fd) {
   const int enabled = 1;
   ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
-// Whether a call on a connection that failed works later, the connection being as it was (man recv, man
-// send).
-bool passes(int error) {
+// Returns true if the failed operation can be retried later on the same connection (man recv, man send).
+bool isTransient(int error) {
   return error == EAGAIN || error == EWOULDBLOCK || error == ENOBUFS || error == ENOMEM;
 }
 
-// Whether a connection could not even be begun for want of something on this machine: the peer has no part in
-// it.
-bool isLocal(int error) {
+// Returns true if connecting failed for lack of a resource on this machine, independent of the peer.
+bool isLocalFailure(int error) {
   return error == EADDRNOTAVAIL || error == ENOBUFS || error == ENOMEM || error == EAGAIN;
 }
 
-const sockaddr* generic(const Address& address) { return reinterpret_cast<const sockaddr*>(&address.raw); }
+const sockaddr* asSockaddr(const Address& address) { return reinterpret_cast<const sockaddr*>(&address.raw); }
 
 }  // namespace
 
@@ -54,13 +52,13 @@
   return address;
 }
 
-Fd listenOn(const Address& address, std::string& error, int* number) {
+Fd listenOn(const Address& address, std::string& error, int* errorNumber) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const int enabled = 1;
   if (fd) ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
-  if (!fd || ::bind(fd.get(), generic(address), sizeof address.raw) != 0 ||
+  if (!fd || ::bind(fd.get(), asSockaddr(address), sizeof address.raw) != 0 ||
       ::listen(fd.get(), SOMAXCONN) != 0) {
-    if (number) *number = errno;
+    if (errorNumber) *errorNumber = errno;
     error = "cannot listen on " + address.text + ": " + std::strerror(errno);
     return Fd();
   }
@@ -77,27 +75,27 @@
 }
 
 bool hasPendingConnection(const Fd& listener) {
-  pollfd waits{listener.get(), POLLIN, 0};
-  return ::poll(&waits, 1, 0) > 0;
+  pollfd pending{listener.get(), POLLIN, 0};
+  return ::poll(&pending, 1, 0) > 0;
 }
 
 Fd acceptFrom(const Fd& listener, int& error) {
   Fd fd(::accept4(listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   error = fd ? 0 : errno;
-  if (fd) sendAtOnce(fd);
+  if (fd) disableNagle(fd);
   return fd;
 }
 
 Fd connectTo(const Address& address) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) return fd;
-  sendAtOnce(fd);
-  // Any other error than "in progress" stays pending on the socket or shows as a failed first write.
-  const bool begun = ::connect(fd.get(), generic(address), sizeof address.raw) == 0;
-  return begun || !isLocal(errno) ? std::move(fd) : Fd();
+  disableNagle(fd);
+  // Errors other than EINPROGRESS stay pending on the socket or make the first write fail.
+  const bool begun = ::connect(fd.get(), asSockaddr(address), sizeof address.raw) == 0;
+  return begun || !isLocalFailure(errno) ? std::move(fd) : Fd();
 }
 
-bool descriptorFree() { return static_cast<bool>(Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))); }
+bool hasFreeDescriptor() { return static_cast<bool>(Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))); }
 
 int pendingError(const Fd& fd) {
   int error = 0;
@@ -108,38 +106,38 @@
 Io readSome(const Fd& fd, std::string& into) {
   std::array<char, 16384> chunk;
   for (;;) {
-    const ssize_t got = ::recv(fd.get(), chunk.data(), chunk.size(), 0);
-    if (got > 0) {
-      into.append(chunk.data(), static_cast<std::size_t>(got));
+    const ssize_t received = ::recv(fd.get(), chunk.data(), chunk.size(), 0);
+    if (received > 0) {
+      into.append(chunk.data(), static_cast<std::size_t>(received));
       return Io::kProgress;
     }
-    if (got == 0) return Io::kClosed;
+    if (received == 0) return Io::kClosed;
     if (errno == EINTR) continue;
-    return passes(errno) ? Io::kWouldBlock : Io::kFailed;
+    return isTransient(errno) ? Io::kWouldBlock : Io::kFailed;
   }
 }
 
-void discardInput(const Fd& fd, std::size_t most) {
+void discardInput(const Fd& fd, std::size_t maxBytes) {
   std::array<char, 16384> chunk;
   int failures = 0;
-  for (std::size_t done = 0; done <= most;) {
-    const ssize_t got = ::recv(fd.get(), chunk.data(), chunk.size(), 0);
-    const bool again = got < 0 && (errno == EINTR || errno == ENOBUFS || errno == ENOMEM);
-    if (got == 0 || (got < 0 && (!again || ++failures > kMostFailures))) return;
-    if (got > 0) done += static_cast<std::size_t>(got);
+  for (std::size_t done = 0; done <= maxBytes;) {
+    const ssize_t received = ::recv(fd.get(), chunk.data(), chunk.size(), 0);
+    const bool again = received < 0 && (errno == EINTR || errno == ENOBUFS || errno == ENOMEM);
+    if (received == 0 || (received < 0 && (!again || ++failures > kMaxFailures))) return;
+    if (received > 0) done += static_cast<std::size_t>(received);
   }
 }
 
 Io writeSome(const Fd& fd, std::string_view bytes, std::size_t& offset) {
   while (offset < bytes.size()) {
-    // No SIGPIPE: a peer that has gone must not end the program.
-    const ssize_t put = ::send(fd.get(), bytes.data() + offset, bytes.size() - offset, MSG_NOSIGNAL);
-    if (put >= 0) {
-      offset += static_cast<std::size_t>(put);
+    // No SIGPIPE, so that a closed connection does not terminate the process.
+    const ssize_t sent = ::send(fd.get(), bytes.data() + offset, bytes.size() - offset, MSG_NOSIGNAL);
+    if (sent >= 0) {
+      offset += static_cast<std::size_t>(sent);
       continue;
     }
     if (errno == EINTR) continue;
-    return passes(errno) ? Io::kWouldBlock : Io::kFailed;
+    return isTransient(errno) ? Io::kWouldBlock : Io::kFailed;
   }
   return Io::kProgress;
 }
@@ -149,7 +147,7 @@
   socklen_t size = sizeof info;
   if (::getsockopt(fd.get(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return std::nullopt;
   if (size < offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv) return std::nullopt;
-  if (info.tcpi_rto == 0) return std::nullopt;  // each connection has a retransmission timeout: not filled in
+  if (info.tcpi_rto == 0) return std::nullopt;  // never 0 if TCP_INFO is implemented
   return info.tcpi_last_data_recv;
 }
 
@@ -160,8 +158,8 @@
 
 bool hasInput(const Fd& fd) {
   char byte = 0;
-  const ssize_t got = ::recv(fd.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
+  const ssize_t received = ::recv(fd.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
 }
 
 }  // namespace myrtleloft
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,4 @@
-// Descriptors and addresses: IPv4 over TCP, never blocking.
+// Non-blocking TCP sockets over IPv4: RAII descriptors, addresses, and reads and writes.
 #pragma once
 
 #include <netinet/in.h>
@@ -11,7 +11,8 @@
 
 namespace myrtleloft {
 
-class Fd {  // owns one descriptor
+// Owns a file descriptor and closes it in the destructor.
+class Fd {
  public:
   Fd() = default;
   explicit Fd(int fd) : fd_(fd) {}
@@ -41,39 +42,43 @@
   std::string text;
 };
 
-// "127.0.0.1:3000"; nothing where the text is not an IPv4 address and a port.
+// Parses "127.0.0.1:3000". Returns std::nullopt if the text is not an IPv4 address with a port.
 std::optional<Address> parseAddress(std::string_view text);
 
-// What one non-blocking read or write came to.
+// Result of a non-blocking read or write.
 enum class Io { kProgress, kWouldBlock, kClosed, kFailed };
 
-// An empty Fd: `error` says why, and `number`, where it is given, is the errno.
-Fd listenOn(const Address& address, std::string& error, int* number = nullptr);
-// Where a listener really listens: port 0 asks for any.
+// On failure, returns an empty Fd and sets `error` to a message and `*errorNumber`, if given, to the errno.
+Fd listenOn(const Address& address, std::string& error, int* errorNumber = nullptr);
+// Returns the address that a socket is bound to, with the actual port if it was bound to port 0.
 std::string localAddress(const Fd& fd);
-// Whether a connection waits to be accepted.
+// Returns true if a connection is waiting to be accepted.
 bool hasPendingConnection(const Fd& listener);
 Fd acceptFrom(const Fd& listener, int& error);
-// An empty Fd: no descriptor or no port could be had, which says nothing of the peer. A refused connection
-// shows when the descriptor becomes writable.
+// Starts to connect. Returns an empty Fd if this machine lacks a descriptor, port or memory, for which the
+// peer is not responsible. A refused connection is reported when the descriptor becomes writable.
 Fd connectTo(const Address& address);
-// Whether one more descriptor can be had.
-bool descriptorFree();
+// Returns true if a further descriptor can be opened.
+bool hasFreeDescriptor();
+// Returns the pending error of the socket (SO_ERROR), or 0.
 int pendingError(const Fd& fd);
-// Both: an error that leaves the connection as it was (ENOBUFS, ENOMEM) is kWouldBlock, for the descriptor
-// stays ready and the loop comes back to it; kFailed is the connection's end.
+// Reads once and appends to `into`. For readSome and writeSome, transient errors that do not affect the
+// connection (ENOBUFS, ENOMEM) are reported as kWouldBlock: the descriptor stays ready, so the loop retries.
+// After kFailed the connection is unusable.
 Io readSome(const Fd& fd, std::string& into);
-// Reads and forgets what is there, `most` bytes and one read of 16 KiB at the most. Allocates nothing.
-void discardInput(const Fd& fd, std::size_t most);
-// Writes from `bytes` at `offset`, and moves `offset`.
+// Reads and discards available input, at most `maxBytes` plus one read of 16 KiB. Does not allocate.
+void discardInput(const Fd& fd, std::size_t maxBytes);
+// Writes `bytes` from `offset` on and advances `offset`.
 Io writeSome(const Fd& fd, std::string_view bytes, std::size_t& offset);
-// How long ago the last bytes of a TCP connection came, in ms, whether they were read or not and whether the
-// connection was accepted by then or lay in the backlog; before any bytes, how long ago it was established.
-// Nothing where the system does not tell. Source: TCP_INFO, tcpi_last_data_recv (man 7 tcp).
+// Returns the milliseconds since the last bytes of a TCP connection arrived, whether or not they have been
+// read and even if the connection was still in the backlog then. Before the first bytes, it is the time since
+// the connection was established. Returns std::nullopt if the system does not provide it. Source: TCP_INFO,
+// tcpi_last_data_recv (man 7 tcp).
 std::optional<double> lastArrivalAgeMs(const Fd& fd);
-// Whether bytes wait to be read; the peer's close alone does not count. true where the system does not tell.
+// Returns true if there are unread bytes or the system does not tell. Unlike hasInput, ignores the peer's
+// close.
 bool hasUnreadBytes(const Fd& fd);
-// Whether anything waits to be read: bytes, or the peer's close.
+// Returns true if there are unread bytes, or the peer has closed the connection or its sending side.
 bool hasInput(const Fd& fd);
 
 }  // namespace myrtleloft
--- a/src/outbound/answers.cpp
+++ b/src/outbound/answers.cpp
@@ -10,27 +10,29 @@
 namespace myrtleloft {
 namespace {
 
-std::optional<double> decimal(std::string_view text) {
+std::optional<double> parseDecimal(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
   return value;
 }
 
-// Seconds on the socket, whole milliseconds in the module: rounded up, or the wait would end early.
-std::int64_t waitMs(const HttpMessage& answer) {
+// Returns the Retry-After header in milliseconds, or 0 if it is missing or invalid. The header is in seconds;
+// the value is rounded up so that the wait does not end early.
+std::int64_t retryAfterMs(const HttpMessage& answer) {
   const std::string* text = answer.header("Retry-After");
-  const auto seconds = text ? decimal(*text) : std::nullopt;
+  const auto seconds = text ? parseDecimal(*text) : std::nullopt;
   return seconds && *seconds > 0 && *seconds < 1e6 ? static_cast<std::int64_t>(std::ceil(*seconds * 1000))
                                                    : 0;
 }
 
-CallOutcome outcomeOfState(const std::string& id, const std::string& state, std::int64_t wait) {
-  if (state == "accepted") return {id, Outcome::kSuccess, true, wait};
-  if (state == "deferred") return {id, Outcome::kRejected, false, wait};
+CallOutcome outcomeOf(const std::string& id, const std::string& state, std::int64_t retryAfter) {
+  if (state == "accepted") return {id, Outcome::kSuccess, true, retryAfter};
+  if (state == "deferred") return {id, Outcome::kRejected, false, retryAfter};
   if (state == "expired") return {id, Outcome::kNotSent, true, 0};
   if (state == "no_more") return {id, Outcome::kNotSent, false, 0};
-  return {id, Outcome::kFailure, false, wait};  // "fault", and whatever cannot be read: it may have run
+  // "fault" or an unknown state: the call may have been executed.
+  return {id, Outcome::kFailure, false, retryAfter};
 }
 
 }  // namespace
@@ -51,46 +53,46 @@
 }
 
 CallOutcome readAnswer(const HttpMessage& answer) {
-  const std::int64_t wait = waitMs(answer);
+  const std::int64_t retryAfter = retryAfterMs(answer);
   switch (answer.status) {
     case 200:
-      return {"", Outcome::kSuccess, true, wait};
+      return {"", Outcome::kSuccess, true, retryAfter};
     case 429:
-      return {"", Outcome::kRejected, false, wait};
+      return {"", Outcome::kRejected, false, retryAfter};
     case 503:
-      if (const std::string* over = answer.header("X-Over-Slots"); over && *over == "1")
+      if (const std::string* overSlots = answer.header("X-Over-Slots"); overSlots && *overSlots == "1")
         return {"", Outcome::kNotSent, false, 1};
-      return {"", Outcome::kRejected, false, wait};
+      return {"", Outcome::kRejected, false, retryAfter};
     case 410:
       return {"", Outcome::kNotSent, true, 0};
-    case 400:  // unreadable, or more than one call may hold: nothing of it has run
+    case 400:  // malformed, or (413) larger than a call may be: not executed
     case 413:
     case 504:
       return {"", Outcome::kNotSent, false, 0};
     default:
-      return {"", Outcome::kFailure, false, wait};
+      return {"", Outcome::kFailure, false, retryAfter};
   }
 }
 
-// Its status may be as wrong as the rest: taken at its word, a 503 would send a charge again that has run.
-// Only a first line with 200 stands, for the message was delivered once it was written; it speaks for one
-// message alone.
-CallOutcome readInvalidAnswer(const HttpMessage& begun, bool bulk) {
-  if (begun.status == 200 && !bulk) return readAnswer(begun);
-  return {"", Outcome::kFailure, false, waitMs(begun)};
+// The status of an invalid answer is not reliable: trusting a 503 could repeat a non-idempotent call that was
+// executed. Only status 200 is trusted, because an endpoint writes it after it has accepted the request, and
+// only for a call with a single request.
+CallOutcome readInvalidAnswer(const HttpMessage& partialAnswer, bool bulk) {
+  if (partialAnswer.status == 200 && !bulk) return readAnswer(partialAnswer);
+  return {"", Outcome::kFailure, false, retryAfterMs(partialAnswer)};
 }
 
 std::vector<CallOutcome> readBulkAnswer(const HttpMessage& answer, const std::vector<CallItem>& items) {
   std::vector<CallOutcome> outcomes;
   std::string error;
-  const auto ends = json::parse(answer.body, error);
-  const std::int64_t wait = waitMs(answer);
+  const auto results = json::parse(answer.body, error);
+  const std::int64_t retryAfter = retryAfterMs(answer);
   for (const CallItem& item : items) {
     std::string state;
-    if (ends)
-      for (const json::Value& end : ends->items)
+    if (results)
+      for (const json::Value& end : results->items)
         if (end.string("id") == item.id) state = end.string("state").value_or("");
-    outcomes.push_back(outcomeOfState(item.id, state, wait));
+    outcomes.push_back(outcomeOf(item.id, state, retryAfter));
   }
   return outcomes;
 }
@@ -109,7 +111,7 @@
     const std::size_t equals = part.find('=');
     if (equals == std::string_view::npos) continue;
     const std::string_view name = part.substr(0, equals);
-    const auto value = decimal(part.substr(equals + 1));
+    const auto value = parseDecimal(part.substr(equals + 1));
     for (const std::string& column : columns) {
       if (column != name || !value) continue;
       if (name == "x1") report.limitPerSecond = value;
--- a/src/outbound/answers.h
+++ b/src/outbound/answers.h
@@ -1,4 +1,5 @@
-// What an endpoint's answer means: PROTOCOL's table in one place. No sockets, no state.
+// Maps HTTP answers of endpoints to call outcomes, as the protocol defines, and writes the body of bulk
+// calls. Pure functions: no sockets and no state.
 #pragma once
 
 #include <string>
@@ -10,15 +11,16 @@
 
 namespace myrtleloft {
 
-// Body of a bulk call.
+// Returns the JSON body of a bulk call.
 std::string writeBulk(const std::vector<CallItem>& items);
-// The common outcome of an answer to a whole call; its id is empty.
+// Returns the outcome that an answer has for each request of its call. The id is empty.
 CallOutcome readAnswer(const HttpMessage& answer);
-// The common outcome of a call whose answer cannot be read to its end.
-CallOutcome readInvalidAnswer(const HttpMessage& begun, bool bulk);
-// The outcomes of a bulk call that was answered 200, one for each item.
+// Returns the outcome that a malformed or truncated answer has for each request of its call. `partialAnswer`
+// is what could be parsed of it.
+CallOutcome readInvalidAnswer(const HttpMessage& partialAnswer, bool bulk);
+// Returns one outcome for each item of a bulk call that was answered with status 200.
 std::vector<CallOutcome> readBulkAnswer(const HttpMessage& answer, const std::vector<CallItem>& items);
-// What the answer tells of the endpoint's limit.
+// Returns the load report that the answer carries, restricted to the given columns.
 LoadReport readReport(const HttpMessage& answer, const std::vector<std::string>& columns);
 std::string base64(std::string_view bytes);
 
--- a/src/outbound/upstream_client.h
+++ b/src/outbound/upstream_client.h
@@ -1,7 +1,8 @@
-// The server side: calls to endpoints, each on a connection of its own. Knows nothing of clients.
+// Sends calls to endpoints over HTTP/1.1 and reports their outcomes.
 //
-// An HTTP/1.1 answer names no call; it belongs to one by its place on the connection alone. On a connection
-// that has carried a call before, a second copy of that call's answer cannot be told from the next one's.
+// Each call has a connection of its own. An HTTP/1.1 answer is matched to its call only by its position on
+// the connection, so on a reused connection a duplicate answer to the previous call could not be
+// distinguished from the answer to the next one.
 #pragma once
 
 #include <cstdint>
@@ -24,26 +25,28 @@
 
 struct CallItem {
   std::string id, key, body;
-  double timeoutMs = 0;  // how long the relay waits for this one, from when its call begins
-  // Until when the relay waits for it at most, on the loop's clock in ms, however late its call begins.
+  double timeoutMs = 0;  // counted from UpstreamClient::call
+  // The latest time at which the relay stops waiting for the answer, in milliseconds on the loop's clock.
   double answerDeadlineMs = std::numeric_limits<double>::infinity();
-  // By when its last byte must be written, on the loop's clock in ms; later it is reported as not sent.
+  // The time by which the last byte must be written, in milliseconds on the loop's clock. A call that misses
+  // it is reported as not sent.
   double sendDeadlineMs = std::numeric_limits<double>::infinity();
 };
 
 struct CallOutcome {
   std::string id;
   Outcome outcome = Outcome::kFailure;
-  bool completed = false;
-  std::int64_t retryAfterMs = 0;
-  bool halfClosed = false;  // its call had been given up, and the answer was on its way
-  // When the answer came, at the latest, on the loop's clock; without one, when the call was over.
+  bool completed = false;         // delivered or expired: the request must not be sent again
+  std::int64_t retryAfterMs = 0;  // stated by the endpoint; 0 if it stated none
+  bool halfClosed = false;        // the relay had abandoned the call and ended its sending side
+  // The latest time at which the answer may have arrived, in milliseconds on the loop's clock. Without an
+  // answer, the time at which the call ended.
   double arrivedMs = 0;
 };
 
-// A call whose first byte is about to be written, with the requests that it still carries.
+// A call whose first byte is about to be written. `items` are the requests that it still carries.
 struct OutgoingCall {
-  std::uint64_t number = 0;  // no other call has it; never 0
+  std::uint64_t number = 0;  // unique within the process, never 0
   const std::string& uid;
   const Address& to;
   const std::vector<CallItem>& items;
@@ -52,12 +55,12 @@
 class CallListener {
  public:
   virtual ~CallListener() = default;
-  // Asked just before a call's first byte is written, again where it could not be. No: it is reported as not
-  // sent.
+  // Called just before the first byte of a call is written, and again if that byte could not be written. If
+  // it returns false, the call is reported as not sent.
   virtual bool maySend(const OutgoingCall& /*call*/) { return true; }
-  // The endpoint sent bytes that answer no call.
+  // The endpoint sent bytes that are not the answer to a call.
   virtual void onUnsolicited(const std::string& /*uid*/) {}
-  // Outcomes of one call; each of its requests is named once, over one or more such calls.
+  // Reports outcomes of one call. It may be called several times for a call; each request is reported once.
   virtual void onOutcomes(const std::string& uid, const std::vector<CallOutcome>& outcomes,
                           const LoadReport& report) = 0;
 };
@@ -65,74 +68,78 @@
 struct UpstreamClientOptions {
   double connectTimeoutMs = 0;
   std::vector<std::string> reportColumns;
-  std::size_t callSlots = 0;  // calls on connections at once; 0: any number
+  std::size_t callSlots = 0;  // maximum number of calls with a connection at the same time; 0 means no limit
 };
 
+// Used from the loop's thread only. Must be given a listener before the first call.
 class UpstreamClient {
  public:
-  UpstreamClient(Loop& loop, Counters& counters, UpstreamClientOptions limits)
-      : loop_(loop), counters_(counters), limits_(std::move(limits)) {}
+  UpstreamClient(Loop& loop, Counters& counters, UpstreamClientOptions options)
+      : loop_(loop), counters_(counters), options_(std::move(options)) {}
 
   void setListener(CallListener& listener) { listener_ = &listener; }
-  // One call; several items go as one bulk. Where all slots are taken it begins when one is free, in turn.
-  // Never reports before it returns.
+  // Starts one call; several items are sent as one bulk call. If all slots are taken, the call is queued. The
+  // listener is never called before this function returns.
   void call(const EndpointRecord& endpoint, std::vector<CallItem> items);
-  // Gives up the call that carries this request, with all its items.
+  // Abandons the call that carries this request, including all other items of the call.
   void abandon(const std::string& id);
-  // The list has changed: calls that have not left yet and whose endpoint is gone, drains or has moved are
-  // reported as not sent. Calls that have left are seen to their end: whoever has them may have run them.
-  void onEndpointsChanged(const EndpointTable& set);
-  // Reports calls whose last byte is not written, as they wait for a slot, for their connection or for their
-  // endpoint to read, to endpoints for which `bound` holds, as not sent.
-  void cancelUnsent(const std::function<bool(const std::string& uid)>& bound);
-  std::size_t pendingCalls() const { return calls_.size(); }  // those that wait for a slot as well
+  // Reports unsent calls as not sent if their endpoint has been removed, is draining or has another address.
+  // Calls that have been sent continue, because the endpoint may have executed them.
+  void onEndpointsChanged(const EndpointTable& endpoints);
+  // Reports as not sent all calls to the affected endpoints whose last byte has not been written, because
+  // they wait for a slot, for the connection or for the endpoint to read.
+  void cancelUnsent(const std::function<bool(const std::string& uid)>& affected);
+  // Returns the number of calls without an outcome, including queued ones.
+  std::size_t pendingCalls() const { return calls_.size(); }
 
  private:
   using Connection = std::unique_ptr<ClientConnection>;
   struct Call {
     std::string uid;
     Address address;
-    std::vector<CallItem> items;  // those without an outcome yet
+    std::vector<CallItem> items;  // without an outcome yet
     bool bulk = false;
-    Connection connection;  // none while it waits for a slot
-    // Given up, with this outcome, unless an answer was on its way: its sending has ended.
-    std::optional<Outcome> parting;
-    Loop::Timer connectTimer = Loop::kNoTimer, capTimer = Loop::kNoTimer, leaveTimer = Loop::kNoTimer;
+    Connection connection;  // nullptr while the call waits for a slot
+    // Set if the call was abandoned and its connection half-closed: the outcome if no answer arrives.
+    std::optional<Outcome> halfClosedOutcome;
+    Loop::Timer connectTimer = Loop::kNoTimer, timeoutTimer = Loop::kNoTimer,
+                sendDeadlineTimer = Loop::kNoTimer;
   };
 
-  // How long is left until the relay gives up waiting for the item.
-  double leftMs(const CallItem& item) const;
-  std::string bytesOf(const Call& call) const;
-  // Hands the call's bytes to its connection, in place of those that it has and has not begun to write.
+  // Milliseconds until the answer deadline of the item.
+  double remainingMs(const CallItem& item) const;
+  std::string serialize(const Call& call) const;
+  // Passes the serialized call to its connection, replacing the bytes that it has not begun to write.
   void write(std::uint64_t number);
-  void begin(std::uint64_t number);
-  void beginNext();
-  void takeBack(const std::vector<std::uint64_t>& numbers);
-  // Takes a call that is over off the table, with its timers.
-  Call takeOff(std::uint64_t number);
+  void start(std::uint64_t number);
+  void startWaitingCalls();
+  void cancelCalls(const std::vector<std::uint64_t>& numbers);
+  // Removes a finished call from the table and cancels its timers.
+  Call removeCall(std::uint64_t number);
   void awaitDescriptor(std::uint64_t number);
-  void armCap(std::uint64_t number);
-  void onCap(std::uint64_t number);
-  void armLeave(std::uint64_t number);
+  void armTimeout(std::uint64_t number);
+  void onTimeout(std::uint64_t number);
+  void armSendDeadline(std::uint64_t number);
   void onResult(std::uint64_t number, const ClientConnection::Result& result);
-  // Ends a call that had no answer; where its last byte was not written it cannot have run. Else it parts: an
-  // answer that was written before the endpoint learns of it may tell a wait, which binds, or a delivery.
+  // Ends a call that has no answer. If its last byte was not written, it cannot have been executed. Otherwise
+  // the connection is half-closed first: an answer that the endpoint wrote before it noticed may state a
+  // Retry-After, which is binding, or a delivery.
   void giveUp(std::uint64_t number, Outcome outcome);
-  void part(std::uint64_t number, Outcome outcome);
+  void halfClose(std::uint64_t number, Outcome outcome);
   void report(const Call& call, double arrivedMs, std::vector<CallOutcome> outcomes,
-              const LoadReport& report);
-  void reportAll(const Call& call, double arrivedMs, const CallOutcome& like, const LoadReport& report);
-  // Of a call without an answer that can be read to its end.
+              const LoadReport& loadReport);
+  void reportAll(const Call& call, double arrivedMs, const CallOutcome& common, const LoadReport& loadReport);
+  // For a call that received no answer.
   void reportUnanswered(const Call& call, Outcome outcome);
-  void reportSpoilt(const Call& call, double arrivedMs, const HttpMessage& begun);
+  void reportInvalidAnswer(const Call& call, double arrivedMs, const HttpMessage& partialAnswer);
 
   Loop& loop_;
   Counters& counters_;
-  UpstreamClientOptions limits_;
+  UpstreamClientOptions options_;
   CallListener* listener_ = nullptr;
   std::map<std::uint64_t, Call> calls_;
-  std::set<std::uint64_t> waiting_;  // of the calls, those that wait for a slot, in their order
-  std::uint64_t lastCall_ = 0;
+  std::set<std::uint64_t> waitingForSlot_;  // numbers of the queued calls, oldest first
+  std::uint64_t lastNumber_ = 0;
 };
 
 }  // namespace myrtleloft
--- a/tests/answers_twice_test.cpp
+++ b/tests/answers_twice_test.cpp
@@ -1,5 +1,5 @@
-// Calls to an endpoint that answers one of them twice on a connection that stays open: the second copy says
-// nothing about the call that follows, whatever the copy claims.
+// An endpoint answers a call twice on a connection that stays open: the duplicate must not affect the outcome
+// of the next call.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -10,16 +10,16 @@
 
 using namespace myrtleloft;
 
-using lab::at, lab::Outcomes;
+using lab::endpointRecord, lab::Outcomes;
 
 namespace {
 
-constexpr double kCapMs = 60000;
+constexpr double kTimeoutMs = 60000;
 const std::string kDelivered = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const std::string kRejected = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-// An endpoint that writes `copy` on the first call's connection once the second call has come, and then
-// answers that one.
+// When the second call arrives, this endpoint first writes `copy` on the connection of the first call and
+// then answers the second.
 struct TwiceAnsweringEndpoint {
   void onCall(lab::Hub::Id from) {
     if (first == 0) {
@@ -37,17 +37,17 @@
       *parseAddress(hub.listen({[this](lab::Hub::Id from, const lab::Message&) { onCall(from); }, {}, {}}));
 };
 
-// The outcome of the second of two calls, one after the other.
+// Makes two consecutive calls and returns the outcome of the second.
 Outcome outcomeOfSecondCall(TwiceAnsweringEndpoint& endpoint) {
   const Clock clock;
   Loop loop(clock);
   Counters counters;
-  UpstreamClient outbound(loop, counters, {kCapMs, {}});
+  UpstreamClient outbound(loop, counters, {kTimeoutMs, {}});
   Outcomes outcomes;
   outbound.setListener(outcomes);
   for (const char* id : {"first", "second"}) {
     const std::size_t before = outcomes.all.size();
-    outbound.call(at("twice", endpoint.address), {{id, "", "body", kCapMs}});
+    outbound.call(endpointRecord("twice", endpoint.address), {{id, "", "body", kTimeoutMs}});
     while (outcomes.all.size() == before) {
       endpoint.hub.turn(0);
       loop.after(1, [] {});
@@ -60,28 +60,27 @@
 
 }  // namespace
 
-// Guards against a request that counts as delivered, never executed or to be sent again by the answer of the
-// call before it on the same connection.
-TEST_CASE("a second copy of an answer is not taken for the answer of the next call") {
-  const std::string waits = "HTTP/1.1 429 Wait\r\nRetry-After: 9.500\r\nContent-Length: 0\r\n\r\n";
+// Guards against a call whose outcome is taken from a duplicate answer to the previous call.
+TEST_CASE("a duplicate answer is not taken for the answer to the next call") {
+  const std::string rateLimited = "HTTP/1.1 429 Wait\r\nRetry-After: 9.500\r\nContent-Length: 0\r\n\r\n";
   const std::string gone = "HTTP/1.1 410 Over\r\nContent-Length: 0\r\n\r\n";
-  struct Scene {
+  struct Scenario {
     std::string answer, copy, trueAnswer;
-    Outcome wanted;
+    Outcome expected;
   };
-  const std::vector<Scene> scenes = {
+  const std::vector<Scenario> scenarios = {
       {kDelivered, kDelivered, kRejected, Outcome::kRejected},
       {kDelivered, kDelivered + kDelivered, kRejected, Outcome::kRejected},
       {kDelivered, kDelivered.substr(0, 17), kRejected, Outcome::kRejected},
       {kDelivered, kDelivered + "HTTP/1.1 2", kRejected, Outcome::kRejected},
       {kDelivered, "HTTP/1.1 100 Continue\r\n\r\n" + kDelivered, kRejected, Outcome::kRejected},
       {kRejected, kRejected, kDelivered, Outcome::kSuccess},
-      {waits, waits, kDelivered, Outcome::kSuccess},
+      {rateLimited, rateLimited, kDelivered, Outcome::kSuccess},
       {gone, gone, kDelivered, Outcome::kSuccess},
   };
-  for (const Scene& scene : scenes) {
-    TwiceAnsweringEndpoint endpoint{scene.answer, scene.copy, scene.trueAnswer};
-    INFO("copy: ", scene.copy);
-    CHECK(outcomeOfSecondCall(endpoint) == scene.wanted);
+  for (const Scenario& scenario : scenarios) {
+    TwiceAnsweringEndpoint endpoint{scenario.answer, scenario.copy, scenario.trueAnswer};
+    INFO("copy: ", scenario.copy);
+    CHECK(outcomeOfSecondCall(endpoint) == scenario.expected);
   }
 }
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -1,4 +1,4 @@
-// A connection that the relay opened, against a peer in the test that does its worst in one turn of the loop.
+// ClientConnection against a peer that fails at critical moments.
 #include "net/client_connection.h"
 
 #include <doctest/doctest.h>
@@ -39,20 +39,20 @@
 };
 
 void turn(Loop& loop) {
-  loop.after(0, [] {});  // no waiting: what is there is all that comes
+  loop.after(0, [] {});  // a due timer keeps the poll from waiting
   loop.runOnce();
 }
 
 }  // namespace
 
-// Forced: the answer and the reset come after poll(2) has said that the connection is writable, and before
-// the write: another handler of the same turn sends them.
-TEST_CASE("an answer is read though the call's next write finds the connection reset") {
+// Another handler of the same turn sends the answer and resets the connection after poll(2) has reported the
+// connection as writable, and before the write.
+TEST_CASE("an answer is read even if the call's next write fails because the connection is reset") {
   Clock clock;
   Loop loop(clock);
   int ends[2];
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) == 0);
-  const Fd first(ends[0]), trigger(ends[1]);  // the lowest numbers are handled first
+  const Fd first(ends[0]), trigger(ends[1]);  // created first, because lower descriptors are handled first
   for (const bool begun : {true, false}) {
     Peer peer;
     ClientConnection connection(loop, peer.address);
@@ -62,7 +62,7 @@
     connection.send(std::string(begun ? 64 << 20 : 100, 'x'),
                     [&](ClientConnection::Result r) { result = r; });
     while (begun && !connection.begun()) turn(loop);
-    peer.readAll();  // there is room for more
+    peer.readAll();  // makes the connection writable
     loop.watch(first.get(), POLLIN, [&](short) {
       loop.unwatch(first.get());
       peer.send("HTTP/1.1 503 Busy\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n");
@@ -71,7 +71,7 @@
     REQUIRE(::send(trigger.get(), "x", 1, 0) == 1);
     turn(loop);
     REQUIRE(result);
-    // Before its first byte nothing can have answered a call.
+    // Bytes that arrive before the call's first byte is written cannot be its answer.
     CHECK(result->end == (begun ? ClientConnection::End::kAnswered : ClientConnection::End::kNotSent));
     CHECK(result->answer.status == (begun ? 503 : 0));
     char byte = 0;
@@ -79,9 +79,9 @@
   }
 }
 
-// Forced: a thread fills the connection as fast as it is read. (Each chunk brings one byte of body and 10 KiB
-// of framing, so that the limit on bodies allows 640 MiB.)
-TEST_CASE("an answer without end does not keep the loop from the others") {
+// A thread fills the connection as fast as it is read. Each chunk has one byte of body and 10 KiB of framing,
+// so that the body limit allows 640 MiB.
+TEST_CASE("an endless answer does not block the loop") {
   Clock clock;
   Loop loop(clock);
   Peer peer;
@@ -98,19 +98,19 @@
   });
   int turns = 0;
   for (; !result; ++turns) loop.runOnce();
-  CHECK(turns > 20);  // each of 256 KiB at the most
+  CHECK(turns > 20);  // each reads at most 256 KiB
   CHECK(result->end == ClientConnection::End::kInvalidAnswer);
   writer.join();
 }
 
-// Guards against a call that counts as delivered, failed or over by what came before its endpoint had it.
-TEST_CASE("what comes ahead of a call's last byte is no answer to it, but may reject it") {
+// Guards against a call whose outcome is taken from bytes that arrived before the endpoint had received it.
+TEST_CASE("bytes before a call's last byte are not its answer, unless they reject it") {
   const std::string noBody = "Content-Length: 0\r\n\r\n";
-  struct Scene {
+  struct Scenario {
     std::string bytes;
     ClientConnection::End end;
   };
-  const Scene scenes[] = {
+  const Scenario scenarios[] = {
       {"HTTP/1.1 200 OK\r\n" + noBody, ClientConnection::End::kNotSent},
       {"HTTP/1.1 204 No Content\r\n\r\n", ClientConnection::End::kNotSent},
       {"HTTP/1.1 410 Gone\r\n" + noBody, ClientConnection::End::kNotSent},
@@ -123,7 +123,7 @@
   Clock clock;
   Loop loop(clock);
   for (const bool begun : {false, true}) {
-    for (const Scene& scene : scenes) {
+    for (const Scenario& scenario : scenarios) {
       Peer peer;
       ClientConnection connection(loop, peer.address);
       std::optional<ClientConnection::Result> result;
@@ -131,10 +131,10 @@
                       [&](ClientConnection::Result r) { result = r; });
       peer.accept();
       while (begun && !connection.begun()) turn(loop);
-      REQUIRE(peer.send(scene.bytes));
+      REQUIRE(peer.send(scenario.bytes));
       while (!result) turn(loop);
-      INFO("begun ", begun, ", bytes ", scene.bytes);
-      CHECK(result->end == scene.end);
+      INFO("begun ", begun, ", bytes ", scenario.bytes);
+      CHECK(result->end == scenario.end);
     }
   }
 }
--- a/tests/integration/half_sent_calls_test.cpp
+++ b/tests/integration/half_sent_calls_test.cpp
@@ -9,7 +9,7 @@
 #include "tests/outbound_site.h"
 
 using namespace myrtleloft;
-using lab::at, lab::Deaf, lab::Outcomes;
+using lab::endpointRecord, lab::SaturatedListener, lab::Outcomes;
 
 namespace {
 
@@ -24,7 +24,7 @@
     loop.after(0, [] {});
     loop.runOnce();
   }
-  EndpointRecord endpoint() const { return at("a", *parseAddress(localAddress(listener))); }
+  EndpointRecord endpoint() const { return endpointRecord("a", *parseAddress(localAddress(listener))); }
   // The connection of the call, once something of it has come there.
   Fd accepted() {
     int code = 0;
@@ -59,8 +59,9 @@
 TEST_CASE("a request whose time is up before its call's connection is up does not leave with the others") {
   CallSite site;
   Outcomes& outcomes = site.outcomes;
-  Deaf deaf;
-  site.outbound.call(at("a", deaf.address), {{"soon", "", "x", 100}, {"later", "", "y", 60000}});
+  SaturatedListener saturated;
+  site.outbound.call(endpointRecord("a", saturated.address),
+                     {{"soon", "", "x", 100}, {"later", "", "y", 60000}});
   site.pass(50);
   CHECK(outcomes.all.empty());
   site.pass(60);
@@ -72,7 +73,7 @@
   std::string bytes;
   for (int turns = 0; turns < 20000 && bytes.find("later") == bytes.npos; ++turns) {
     int code = 0;
-    if (hasPendingConnection(deaf.fd)) accepted.push_back(acceptFrom(deaf.fd, code));
+    if (hasPendingConnection(saturated.fd)) accepted.push_back(acceptFrom(saturated.fd, code));
     for (const Fd& fd : accepted) readSome(fd, bytes);
     ::poll(nullptr, 0, 1);
     site.pass(0);
--- a/tests/integration/relay_test.cpp
+++ b/tests/integration/relay_test.cpp
@@ -48,16 +48,16 @@
 }
 
 TEST_CASE("what stands behind a request is told from the rest of a body") {
-  CHECK(behind("") == Behind::kNothing);
+  CHECK(classifyTrailing("") == TrailingBytes::kNothing);
   const std::string line = "POST /status-update HTTP/1.1\r\n";
   for (std::size_t size = 1; size < line.size(); ++size)
-    CHECK(behind(line.substr(0, size)) == Behind::kUnsure);
-  CHECK(behind(line + "X-Requ") == Behind::kRequest);
-  CHECK(behind("GET /up HTTP/1.0\r\n") == Behind::kRequest);
+    CHECK(classifyTrailing(line.substr(0, size)) == TrailingBytes::kIncomplete);
+  CHECK(classifyTrailing(line + "X-Requ") == TrailingBytes::kRequest);
+  CHECK(classifyTrailing("GET /up HTTP/1.0\r\n") == TrailingBytes::kRequest);
   for (const char* rest : {"lo", "\r\n", "lo world", "POST\r\n", " POST /", "POST status", "POST /a\x01",
                            "POST /a b", "POST /a HTTP/1.1\n", "POST /a HTTP/2", "ABCDEFGH", "POST  /"})
-    CHECK(behind(rest) == Behind::kRest);
-  CHECK(behind("POST /" + std::string(kHeadLimit, 'a')) == Behind::kRest);
+    CHECK(classifyTrailing(rest) == TrailingBytes::kGarbage);
+  CHECK(classifyTrailing("POST /" + std::string(kHeadLimit, 'a')) == TrailingBytes::kGarbage);
 }
 
 TEST_CASE("a head that is too long is named by the line that made it so") {
@@ -111,15 +111,15 @@
     answer.headers.emplace_back(name, value);
     return readAnswer(answer);
   };
-  CHECK((outcome(200).outcome == Outcome::kSuccess && outcome(200).ended));
-  CHECK((outcome(500).outcome == Outcome::kFailure && !outcome(500).ended));
+  CHECK((outcome(200).outcome == Outcome::kSuccess && outcome(200).completed));
+  CHECK((outcome(500).outcome == Outcome::kFailure && !outcome(500).completed));
   CHECK((outcome(429, "Retry-After", "0.2501").outcome == Outcome::kRejected));
-  CHECK_EQ(outcome(429, "Retry-After", "0.2501").detail, 251);  // rounded up: no wait may end early
-  CHECK_EQ(outcome(429, "Retry-After", "soon").detail, 0);
-  CHECK((outcome(503).outcome == Outcome::kRejected && outcome(503).detail == 0));
+  CHECK_EQ(outcome(429, "Retry-After", "0.2501").retryAfterMs, 251);  // rounded up: no wait may end early
+  CHECK_EQ(outcome(429, "Retry-After", "soon").retryAfterMs, 0);
+  CHECK((outcome(503).outcome == Outcome::kRejected && outcome(503).retryAfterMs == 0));
   CHECK((outcome(503, "X-Over-Slots", "1").outcome == Outcome::kNotSent));
-  CHECK((outcome(504).outcome == Outcome::kNotSent && !outcome(504).ended));
-  CHECK((outcome(410).outcome == Outcome::kNotSent && outcome(410).ended));
+  CHECK((outcome(504).outcome == Outcome::kNotSent && !outcome(504).completed));
+  CHECK((outcome(410).outcome == Outcome::kNotSent && outcome(410).completed));
 
   HttpMessage bulk;
   bulk.status = 200;
@@ -128,10 +128,10 @@
               R"({"id":"d","state":"fault"}])";
   const auto ends = readBulkAnswer(
       bulk, {{"a", "", "", 0}, {"b", "", "", 0}, {"c", "", "", 0}, {"d", "", "", 0}, {"e", "", "", 0}});
-  CHECK((ends[0].outcome == Outcome::kRejected && ends[0].detail == 1000));
-  CHECK((ends[1].outcome == Outcome::kNotSent && ends[1].ended));
-  CHECK((ends[2].outcome == Outcome::kNotSent && !ends[2].ended));
-  CHECK((ends[3].outcome == Outcome::kFailure && !ends[3].ended));
+  CHECK((ends[0].outcome == Outcome::kRejected && ends[0].retryAfterMs == 1000));
+  CHECK((ends[1].outcome == Outcome::kNotSent && ends[1].completed));
+  CHECK((ends[2].outcome == Outcome::kNotSent && !ends[2].completed));
+  CHECK((ends[3].outcome == Outcome::kFailure && !ends[3].completed));
   CHECK(ends[4].outcome == Outcome::kFailure);  // not named: it may have run
   CHECK_EQ(base64(std::string("a\0b\xff", 4)), "YQBi/w==");
   CHECK_EQ(base64("hello"), "aGVsbG8=");
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -1,4 +1,5 @@
-// The order of one turn of the loop, on real descriptors; the process stands still where the clock jumps.
+// Loop: the order of events in a turn, and quiet times. Uses real descriptors; a jump of the clock simulates
+// a stopped process.
 #include "net/loop.h"
 
 #include <doctest/doctest.h>
@@ -16,192 +17,190 @@
 
 namespace {
 
-constexpr double kStandsMs = 140;
+constexpr double kStallMs = 140;
 
-// What happened, in order: a reader drains, a writer writes nothing and wants no more.
-struct LoopScene {
-  explicit LoopScene(Loop::PollFunction poll = &::poll) : loop(clock, poll) {}
+// Records events in order. A reader drains its descriptor; a writer writes nothing and stops watching.
+struct LoopFixture {
+  explicit LoopFixture(Loop::PollFunction poll = &::poll) : loop(clock, poll) {}
   void watchReader(
-      const Pipe& pipe, const std::string& name, std::function<void()> also = [] {}) {
-    loop.watch(pipe.here.get(), POLLIN, [this, &pipe, name, also](short) {
+      const Pipe& pipe, const std::string& name, std::function<void()> then = [] {}) {
+    loop.watch(pipe.here.get(), POLLIN, [this, &pipe, name, then](short) {
       pipe.drain();
-      seen.push_back("read " + name);
-      also();
+      events.push_back("read " + name);
+      then();
     });
   }
   void watchWriter(
-      const Pipe& pipe, const std::string& name, std::function<void()> also = [] {}) {
-    loop.watch(pipe.here.get(), POLLOUT, [this, &pipe, name, also](short) {
+      const Pipe& pipe, const std::string& name, std::function<void()> then = [] {}) {
+    loop.watch(pipe.here.get(), POLLOUT, [this, &pipe, name, then](short) {
       loop.setEvents(pipe.here.get(), 0);
-      seen.push_back("write " + name + (loop.pollIsOld() ? " late" : ""));
-      also();
+      events.push_back("write " + name + (loop.pollIsOld() ? " late" : ""));
+      then();
     });
   }
-  // The process stands still, and meanwhile something comes.
-  void standWhile(const Pipe& comes) {
-    clock.nowMs += kStandsMs;
-    comes.fill();
+  // Simulates a stopped process, during which a byte arrives.
+  void stallWhile(const Pipe& arriving) {
+    clock.nowMs += kStallMs;
+    arriving.fill();
   }
   void turn() {
-    loop.after(0, [] {});  // without waiting
+    loop.after(0, [] {});  // a due timer keeps the poll from waiting
     loop.runOnce();
   }
   lab::HandClock clock;
   Loop loop;
-  std::vector<std::string> seen;
+  std::vector<std::string> events;
 };
 
-using Seen = std::vector<std::string>;
+using Events = std::vector<std::string>;
 
-// For a poll function, which has no other way to its scene.
+// Called once by pollThatStalls; global, because a poll function has no access to its fixture.
 std::function<void()> afterRealPoll;
-int pollThatStands(pollfd* descriptors, nfds_t count, int timeoutMs) {
+int pollThatStalls(pollfd* descriptors, nfds_t count, int timeoutMs) {
   const int ready = ::poll(descriptors, count, timeoutMs);
-  if (const std::function<void()> stand = std::exchange(afterRealPoll, nullptr)) stand();
+  if (const std::function<void()> stall = std::exchange(afterRealPoll, nullptr)) stall();
   return ready;
 }
 
 }  // namespace
 
-// Guards against a call that is written ahead of an answer which the same poll has reported.
-TEST_CASE(
-    "all that can be read is handed out before what can be written, whatever the descriptors' numbers") {
-  LoopScene scene;
+// Guards against writing a call before reading an answer that the same poll reported.
+TEST_CASE("all read events are dispatched before the write events, regardless of the descriptor order") {
+  LoopFixture fixture;
   const Pipe low, middle, high;
-  scene.watchWriter(low, "low");
-  scene.watchReader(high, "high");
-  scene.watchReader(middle, "middle");
+  fixture.watchWriter(low, "low");
+  fixture.watchReader(high, "high");
+  fixture.watchReader(middle, "middle");
   middle.fill();
   high.fill();
-  scene.turn();
-  CHECK(scene.seen == Seen{"read middle", "read high", "write low"});
+  fixture.turn();
+  CHECK(fixture.events == Events{"read middle", "read high", "write low"});
 }
 
 TEST_CASE(
-    "a descriptor that can be read and written gets the reading first, and the writing in the same turn") {
-  LoopScene scene;
+    "a readable and writable descriptor gets the read event first, and the write event in the same turn") {
+  LoopFixture fixture;
   const Pipe both;
-  std::vector<short> events;
-  scene.loop.watch(both.here.get(), POLLIN | POLLOUT, [&](short event) { events.push_back(event); });
+  std::vector<short> reported;
+  fixture.loop.watch(both.here.get(), POLLIN | POLLOUT, [&](short event) { reported.push_back(event); });
   both.fill();
-  scene.turn();
-  CHECK(events == std::vector<short>{POLLIN, POLLOUT});
+  fixture.turn();
+  CHECK(reported == std::vector<short>{POLLIN, POLLOUT});
 }
 
-TEST_CASE("a reader that ends a descriptor's wish to write, or its watch, is heeded in the same turn") {
-  LoopScene scene;
-  const Pipe reader, unwilling, forgotten;
-  scene.watchReader(reader, "reader", [&] {
-    scene.loop.setEvents(unwilling.here.get(), POLLIN);
-    scene.loop.unwatch(forgotten.here.get());
+TEST_CASE("a read handler that clears POLLOUT or unwatches a descriptor takes effect in the same turn") {
+  LoopFixture fixture;
+  const Pipe reader, disarmed, unwatched;
+  fixture.watchReader(reader, "reader", [&] {
+    fixture.loop.setEvents(disarmed.here.get(), POLLIN);
+    fixture.loop.unwatch(unwatched.here.get());
   });
-  scene.watchWriter(unwilling, "unwilling");
-  scene.watchWriter(forgotten, "forgotten");
+  fixture.watchWriter(disarmed, "disarmed");
+  fixture.watchWriter(unwatched, "unwatched");
   reader.fill();
-  scene.turn();
-  CHECK(scene.seen == Seen{"read reader"});
+  fixture.turn();
+  CHECK(fixture.events == Events{"read reader"});
 }
 
-// Guards against a call that leaves after a stall, ahead of what came during the stall.
-TEST_CASE("what comes while a reader stands still is read before anything is written") {
-  LoopScene scene;
-  const Pipe writer, stands, comes;
-  scene.watchWriter(writer, "writer");
-  scene.watchReader(stands, "stands", [&] { scene.standWhile(comes); });
-  scene.watchReader(comes, "comes");
-  stands.fill();
-  scene.turn();
-  CHECK(scene.seen == Seen{"read stands", "read comes", "write writer"});
+// Guards against sending a call after a stall without reading the input that arrived during the stall.
+TEST_CASE("input that arrives while a read handler stalls is read before anything is written") {
+  LoopFixture fixture;
+  const Pipe writer, stalling, arriving;
+  fixture.watchWriter(writer, "writer");
+  fixture.watchReader(stalling, "stalling", [&] { fixture.stallWhile(arriving); });
+  fixture.watchReader(arriving, "arriving");
+  stalling.fill();
+  fixture.turn();
+  CHECK(fixture.events == Events{"read stalling", "read arriving", "write writer"});
 }
 
 TEST_CASE(
-    "what comes while the process stands in its poll, behind the kernel's look, is read before a write") {
-  LoopScene scene(&pollThatStands);
-  const Pipe writer, comes;
-  scene.watchWriter(writer, "writer");
-  scene.watchReader(comes, "comes");
-  afterRealPoll = [&] { scene.standWhile(comes); };
-  scene.turn();
-  CHECK(scene.seen == Seen{"read comes", "write writer"});
+    "input that arrives while the process stalls at the end of a poll is read before anything is written") {
+  LoopFixture fixture(&pollThatStalls);
+  const Pipe writer, arriving;
+  fixture.watchWriter(writer, "writer");
+  fixture.watchReader(arriving, "arriving");
+  afterRealPoll = [&] { fixture.stallWhile(arriving); };
+  fixture.turn();
+  CHECK(fixture.events == Events{"read arriving", "write writer"});
 }
 
-TEST_CASE(
-    "a writer behind one that stood still is told that the poll is old, and not any more in the next turn") {
-  LoopScene scene;
-  const Pipe stands, late, comes;
-  scene.watchWriter(stands, "stands", [&] { scene.standWhile(comes); });
-  scene.watchWriter(late, "second");
-  scene.watchReader(comes, "comes");
-  scene.turn();
-  CHECK(scene.seen == Seen{"write stands", "write second late", "read comes"});
-  scene.watchWriter(late, "second");
-  scene.turn();
-  CHECK(scene.seen.back() == "write second");
+TEST_CASE("after a write handler stalls, the next one sees an old poll, but not any more in the next turn") {
+  LoopFixture fixture;
+  const Pipe stalling, late, arriving;
+  fixture.watchWriter(stalling, "stalling", [&] { fixture.stallWhile(arriving); });
+  fixture.watchWriter(late, "second");
+  fixture.watchReader(arriving, "arriving");
+  fixture.turn();
+  CHECK(fixture.events == Events{"write stalling", "write second late", "read arriving"});
+  fixture.watchWriter(late, "second");
+  fixture.turn();
+  CHECK(fixture.events.back() == "write second");
 }
 
-// Guards against a time-out, or a batch of decisions, that does not know what lies in the sockets.
-TEST_CASE("what comes while a writer stands still is read before a timer that became due") {
-  LoopScene scene;
-  const Pipe stands, comes;
-  scene.watchWriter(stands, "stands", [&] { scene.standWhile(comes); });
-  scene.watchReader(comes, "comes");
-  scene.loop.after(kStandsMs / 2, [&] { scene.seen.emplace_back("timer"); });
-  scene.turn();
-  CHECK(scene.seen == Seen{"write stands", "read comes", "timer"});
+// Guards against timeouts and batches of decisions that ignore unread input.
+TEST_CASE("input that arrives while a write handler stalls is read before a timer that became due") {
+  LoopFixture fixture;
+  const Pipe stalling, arriving;
+  fixture.watchWriter(stalling, "stalling", [&] { fixture.stallWhile(arriving); });
+  fixture.watchReader(arriving, "arriving");
+  fixture.loop.after(kStallMs / 2, [&] { fixture.events.emplace_back("timer"); });
+  fixture.turn();
+  CHECK(fixture.events == Events{"write stalling", "read arriving", "timer"});
 }
 
-TEST_CASE("a turn that does not stand polls once, and a poll that fails hands out nothing") {
+TEST_CASE("a turn without a stall polls once, and a failed poll dispatches nothing") {
   static int polls = 0;
-  LoopScene scene([](pollfd* descriptors, nfds_t count, int timeoutMs) {
+  LoopFixture fixture([](pollfd* descriptors, nfds_t count, int timeoutMs) {
     if (++polls != 2) return ::poll(descriptors, count, timeoutMs);
     errno = ENOMEM;
     for (nfds_t i = 0; i < count; ++i) descriptors[i].revents = POLLIN;
     return -1;
   });
   const Pipe reader;
-  scene.watchReader(reader, "reader");
-  scene.turn();
+  fixture.watchReader(reader, "reader");
+  fixture.turn();
   CHECK(polls == 1);
   reader.fill();
-  scene.turn();
-  CHECK(scene.seen.empty());
-  scene.turn();
-  CHECK(scene.seen == Seen{"read reader"});
+  fixture.turn();
+  CHECK(fixture.events.empty());
+  fixture.turn();
+  CHECK(fixture.events == Events{"read reader"});
   CHECK(polls == 3);
 }
 
-TEST_CASE("a descriptor was quiet when the last poll began that watched it and did not report it") {
-  LoopScene scene;
+TEST_CASE("the quiet time is the start of the last poll that watched a descriptor and did not report it") {
+  LoopFixture fixture;
   const Pipe pipe;
-  CHECK(scene.loop.quietAtMs(pipe.here.get()) == Loop::kNeverMs);
-  scene.watchReader(pipe, "a");
-  scene.clock.nowMs = 100;
-  scene.turn();
-  CHECK(scene.loop.quietAtMs(pipe.here.get()) == 100);
-  scene.clock.nowMs = 200;
+  CHECK(fixture.loop.quietAtMs(pipe.here.get()) == Loop::kNeverMs);
+  fixture.watchReader(pipe, "a");
+  fixture.clock.nowMs = 100;
+  fixture.turn();
+  CHECK(fixture.loop.quietAtMs(pipe.here.get()) == 100);
+  fixture.clock.nowMs = 200;
   pipe.fill();
-  scene.turn();
-  CHECK(scene.loop.quietAtMs(pipe.here.get()) == 100);
-  scene.loop.setEvents(pipe.here.get(), 0);  // not watched for reading, so nothing is known of it
-  scene.clock.nowMs = 300;
-  scene.turn();
-  CHECK(scene.loop.quietAtMs(pipe.here.get()) == 100);
+  fixture.turn();
+  CHECK(fixture.loop.quietAtMs(pipe.here.get()) == 100);
+  fixture.loop.setEvents(pipe.here.get(), 0);  // not watched for reading, so its quiet time is unchanged
+  fixture.clock.nowMs = 300;
+  fixture.turn();
+  CHECK(fixture.loop.quietAtMs(pipe.here.get()) == 100);
 }
 
-// Where the system does not tell when bytes came: what a poll finds at once came since the one before
-// returned.
-TEST_CASE("a descriptor was likely quiet until a poll returned that saw it so, or that waited for it") {
-  LoopScene scene;
+// Used if the system does not tell when bytes arrived: input that a poll reports without waiting arrived
+// after the previous poll returned.
+TEST_CASE("the likely quiet time is the return of a poll that did not report it, or that waited for it") {
+  LoopFixture fixture;
   const Pipe pipe;
-  scene.watchReader(pipe, "a");
-  scene.clock.nowMs = 100;
-  scene.turn();
-  CHECK(scene.loop.likelyQuietAtMs(pipe.here.get()) == 100);
+  fixture.watchReader(pipe, "a");
+  fixture.clock.nowMs = 100;
+  fixture.turn();
+  CHECK(fixture.loop.likelyQuietAtMs(pipe.here.get()) == 100);
   pipe.fill();
-  scene.clock.nowMs = 200;
-  scene.turn();  // found at once
-  CHECK(scene.loop.likelyQuietAtMs(pipe.here.get()) == 100);
-  LoopScene waits(&pollThatStands);
+  fixture.clock.nowMs = 200;
+  fixture.turn();  // reported without waiting
+  CHECK(fixture.loop.likelyQuietAtMs(pipe.here.get()) == 100);
+  LoopFixture waits(&pollThatStalls);
   waits.watchReader(pipe, "a");
   waits.loop.after(100, [] {});
   afterRealPoll = [&] { waits.clock.nowMs = 50; };
@@ -210,28 +209,28 @@
   CHECK(waits.loop.likelyQuietAtMs(pipe.here.get()) == 50);
 }
 
-// Guards against a time that runs from the reading where the process stood inside a poll, and the system does
-// not tell when bytes came.
-TEST_CASE("a poll that returns long after its time-out says of no descriptor that it was quiet meanwhile") {
-  for (const bool isReported : {true, false}) {  // or comes between the kernel's look and the return
-    LoopScene scene(&pollThatStands);
+// Guards against timeouts that are counted from the read if the process was stopped inside a poll and the
+// system does not tell when bytes arrived.
+TEST_CASE("a poll that returns long after its timeout does not advance the likely quiet time to its return") {
+  for (const bool isReported : {true, false}) {  // otherwise the byte arrives after the kernel's check
+    LoopFixture fixture(&pollThatStalls);
     const Pipe pipe;
-    scene.watchReader(pipe, "a");
-    scene.loop.after(10, [] {});
+    fixture.watchReader(pipe, "a");
+    fixture.loop.after(10, [] {});
     if (isReported) pipe.fill();
     afterRealPoll = [&] {
-      scene.clock.nowMs = 10 + kStandsMs;
+      fixture.clock.nowMs = 10 + kStallMs;
       if (!isReported) pipe.fill();
     };
-    scene.loop.runOnce();
-    CHECK(scene.loop.likelyQuietAtMs(pipe.here.get()) == 0);
+    fixture.loop.runOnce();
+    CHECK(fixture.loop.likelyQuietAtMs(pipe.here.get()) == 0);
   }
 }
 
-TEST_CASE("the longest delay of a timer tells for how long the process stood") {
-  LoopScene scene;
-  scene.loop.after(10, [] {});
-  scene.clock.nowMs = 10 + kStandsMs;
-  scene.turn();
-  CHECK(scene.loop.maxTimerDelayMs() == kStandsMs);
+TEST_CASE("the largest timer delay shows for how long the process was stopped") {
+  LoopFixture fixture;
+  fixture.loop.after(10, [] {});
+  fixture.clock.nowMs = 10 + kStallMs;
+  fixture.turn();
+  CHECK(fixture.loop.maxTimerDelayMs() == kStallMs);
 }
--- a/tests/net/pipe.h
+++ b/tests/net/pipe.h
@@ -1,4 +1,4 @@
-// A descriptor for a loop to watch, and the other end of it.
+// A pair of connected sockets for tests of Loop.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 
 namespace myrtleloft::testing {
 
-// Both ends of a stream; `here` is watched, and `there` belongs to the test.
+// `here` is watched by the loop, and `there` is used by the test.
 struct Pipe {
   Pipe() {
     std::array<int, 2> ends{};
--- a/tests/outbound_test.cpp
+++ b/tests/outbound_test.cpp
@@ -1,4 +1,4 @@
-// Calls that have not left when the list changes.
+// UpstreamClient: queued and unsent calls, changes of the endpoint list, and unsolicited bytes.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 
@@ -12,9 +12,9 @@
 
 using namespace myrtleloft;
 
-using lab::at, lab::Deaf, lab::Outcomes;
+using lab::endpointRecord, lab::SaturatedListener, lab::Outcomes;
 
-TEST_CASE("a call beyond the slots waits its turn, its cap running, and can be taken back") {
+TEST_CASE("a call without a free slot is queued, its timeout running, and can be cancelled") {
   lab::HandClock clock;
   Loop loop(clock);
   Counters counters;
@@ -32,7 +32,8 @@
     }
   };
   for (const char* id : {"first", "second", "late", "third", "fourth"})
-    outbound.call(at(id[0] == 't' ? "b" : "a", address), {{id, "", "body", id[0] == 'l' ? 100.0 : 60000.0}});
+    outbound.call(endpointRecord(id[0] == 't' ? "b" : "a", address),
+                  {{id, "", "body", id[0] == 'l' ? 100.0 : 60000.0}});
   pass(50);
   CHECK(counters.connectionsOut == 1);
   int code = 0;
@@ -40,14 +41,14 @@
   REQUIRE(fd);
   CHECK(outcomes.all.empty());
   pass(100);
-  REQUIRE(outcomes.all.size() == 1);  // its time was over while it waited: it cannot have run
+  REQUIRE(outcomes.all.size() == 1);  // it timed out in the queue: it cannot have been executed
   CHECK(outcomes.all[0].second.id == "late");
   CHECK(outcomes.all[0].second.outcome == Outcome::kNotSent);
   outbound.cancelUnsent([](const std::string& uid) { return uid == "b"; });
   REQUIRE(outcomes.all.size() == 2);
   CHECK(outcomes.all[1].second.id == "third");
   CHECK(outcomes.all[1].second.outcome == Outcome::kNotSent);
-  // The first is answered: the next of those that are left goes, on a connection of its own.
+  // Once the first call is answered, the next queued call is sent on a connection of its own.
   const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   std::size_t written = 0;
   REQUIRE(writeSome(fd, answer, written) == Io::kProgress);
@@ -65,20 +66,20 @@
   CHECK(outbound.pendingCalls() == 2);
 }
 
-TEST_CASE("a call whose connection is not up yet comes back when its endpoint is bound, one that left not") {
+TEST_CASE("calls to an affected endpoint are cancelled while connecting, but not once they are sent") {
   const Clock clock;
   Loop loop(clock);
   Counters counters;
   UpstreamClient outbound(loop, counters, {60000, {}});
   Outcomes outcomes;
   outbound.setListener(outcomes);
-  Deaf deaf;
+  SaturatedListener saturated;
   std::string error;
   const Fd listener = listenOn(*parseAddress("127.0.0.1:0"), error);
   const Address up = *parseAddress(localAddress(listener));
-  outbound.call(at("told", deaf.address), {{"connecting", "", "body", 60000}});
-  outbound.call(at("other", deaf.address), {{"elsewhere", "", "body", 60000}});
-  outbound.call(at("told", up), {{"left", "", "body", 60000}});
+  outbound.call(endpointRecord("told", saturated.address), {{"connecting", "", "body", 60000}});
+  outbound.call(endpointRecord("other", saturated.address), {{"elsewhere", "", "body", 60000}});
+  outbound.call(endpointRecord("told", up), {{"left", "", "body", 60000}});
   int code = 0;
   Fd accepted;
   std::string bytes;
@@ -95,18 +96,19 @@
   CHECK(outbound.pendingCalls() == 2);
 }
 
-TEST_CASE("calls that have not left come back at once when their endpoint is gone, drains or has moved") {
+TEST_CASE("unsent calls are reported at once when their endpoint is removed, drains or changes its address") {
   const Clock clock;
   Loop loop(clock);
   Counters counters;
   UpstreamClient outbound(loop, counters, {60000, {}});
   Outcomes outcomes;
   outbound.setListener(outcomes);
-  Deaf deaf;
+  SaturatedListener saturated;
   const Address elsewhere = parseAddress("127.0.0.1:9").value();
   const std::vector<std::string> uids = {"gone", "drains", "moved", "stays"};
   EndpointList list{1, true, {}};
-  for (const std::string& uid : uids) list.endpoints.push_back(at(uid.c_str(), deaf.address));
+  for (const std::string& uid : uids)
+    list.endpoints.push_back(endpointRecord(uid.c_str(), saturated.address));
   EndpointTable set;
   set.apply(list, ListUpdateKind::kSnapshot, 1);
   for (const std::string& uid : uids) outbound.call(*set.find(uid), {{"m-" + uid, "", "body", 60000}});
@@ -114,20 +116,20 @@
   CHECK(outcomes.all.empty());
   set.apply({2,
              true,
-             {at("drains", deaf.address, EndpointState::kDraining), at("moved", elsewhere),
-              at("stays", deaf.address)}},
+             {endpointRecord("drains", saturated.address, EndpointState::kDraining),
+              endpointRecord("moved", elsewhere), endpointRecord("stays", saturated.address)}},
             ListUpdateKind::kSnapshot, 2);
   outbound.onEndpointsChanged(set);
   REQUIRE(outcomes.all.size() == 3);
   for (std::size_t i = 0; i < 3; ++i) {
     CHECK(outcomes.all[i].first == uids[i]);
     CHECK(outcomes.all[i].second.id == "m-" + uids[i]);
-    CHECK(outcomes.all[i].second.outcome == Outcome::kNotSent);  // proven never to have run
+    CHECK(outcomes.all[i].second.outcome == Outcome::kNotSent);  // known not executed
     CHECK_FALSE(outcomes.all[i].second.completed);
   }
   CHECK(outbound.pendingCalls() == 1);
-  // Served by another destination under the same address: it is another endpoint.
-  EndpointRecord other = at("stays", deaf.address);
+  // A record with another destination at the same address is a different endpoint.
+  EndpointRecord other = endpointRecord("stays", saturated.address);
   other.info.destination = 8;
   set.apply({3, false, {other}}, ListUpdateKind::kSnapshot, 3);
   outbound.onEndpointsChanged(set);
@@ -135,7 +137,7 @@
   CHECK(outbound.pendingCalls() == 0);
 }
 
-TEST_CASE("without a descriptor a call waits in its slot, and what runs out of time meanwhile was not sent") {
+TEST_CASE("without a free descriptor a call keeps its slot, and items that time out meanwhile are not sent") {
   lab::HandClock clock;
   Loop loop(clock);
   Counters counters;
@@ -152,7 +154,7 @@
   rlimit none = limit;
   none.rlim_cur = 0;
   REQUIRE(::setrlimit(RLIMIT_NOFILE, &none) == 0);
-  outbound.call(at("a", parseAddress("127.0.0.1:9").value()),
+  outbound.call(endpointRecord("a", parseAddress("127.0.0.1:9").value()),
                 {{"soon", "", "x", 100}, {"later", "", "x", 1000}});
   pass(60);
   const bool waited = outcomes.all.empty() && outbound.pendingCalls() == 1;
@@ -163,16 +165,16 @@
   CHECK(waited);
   REQUIRE(meanwhile.size() == 1);
   CHECK(meanwhile[0].second.id == "soon");
-  CHECK(meanwhile[0].second.outcome == Outcome::kNotSent);  // it says nothing of the endpoint
+  CHECK(meanwhile[0].second.outcome == Outcome::kNotSent);  // the endpoint is not at fault
   REQUIRE(outcomes.all.size() == 2);
   CHECK(outcomes.all[1].second.id == "later");
   CHECK(outcomes.all[1].second.outcome == Outcome::kNotSent);
   CHECK(outbound.pendingCalls() == 0);
 }
 
-// Guards against a fault of endpoints that nobody can see: bytes that answer no call end a connection, and
-// were not counted.
-TEST_CASE("bytes behind an answer are counted, and their endpoint is named") {
+// Guards against an endpoint fault that goes unnoticed: bytes after an answer used to close the connection
+// without being counted.
+TEST_CASE("bytes after an answer are counted and reported with their endpoint") {
   const Clock clock;
   Loop loop(clock);
   Counters counters;
@@ -181,7 +183,7 @@
   outbound.setListener(outcomes);
   std::string error;
   const Fd listener = listenOn(*parseAddress("127.0.0.1:0"), error);
-  outbound.call(at("twice", *parseAddress(localAddress(listener))), {{"m", "", "body", 60000}});
+  outbound.call(endpointRecord("twice", *parseAddress(localAddress(listener))), {{"m", "", "body", 60000}});
   Fd accepted;
   std::string bytes;
   while (outcomes.all.empty()) {
