--- a/bench/first_delivery.cpp
+++ b/bench/first_delivery.cpp
@@ -44,7 +44,7 @@
   EndpointCache kept({files, clock, disk, std::cerr}, {folder, 1 << 28, 5, kNames, {}});
   kept.markChanged(set.apply(list, ListUpdateKind::kSnapshot, clock.wallMs()).changedUids);
   kept.markConfirmed();
-  while (kept.figures().commits == 0) kept.step(set);
+  while (kept.statistics().commits == 0) kept.step(set);
 }
 
 }  // namespace
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -68,7 +68,7 @@
     kept.markChanged(changed);
     kept.markConfirmed();
     double all = 0;
-    while (kept.figures().commits == 0) {
+    while (kept.statistics().commits == 0) {
       const auto from = SteadyClock::now();
       kept.step(set);
       slices.push_back(msSince(from));
@@ -90,7 +90,7 @@
   EndpointCache kept({site.files, site.clock, site.disk, site.log}, site.options());
   kept.markChanged(set.apply(listOf(state.range(0)), ListUpdateKind::kSnapshot, 1e12).changedUids);
   kept.markConfirmed();
-  while (kept.figures().commits == 0) kept.step(set);
+  while (kept.statistics().commits == 0) kept.step(set);
   for (auto _ : state) {
     const CachedList found = readCachedList(site.files, site.folder, &lab::kNames);
     if (!found.usable || found.list.endpoints.size() != static_cast<std::size_t>(state.range(0)))
--- a/src/discovery/endpoint_cache.cpp
+++ b/src/discovery/endpoint_cache.cpp
@@ -66,7 +66,7 @@
 
 void EndpointCache::step(const EndpointTable& table) {
   if (parts_.clock.steadyMs() < dueMs()) return;
-  ++figures_.slices;
+  ++statistics_.slices;
   const bool grown = current_.bytes > baseBytes_ + std::max(baseBytes_, options_.tuning.minGrowthBytes);
   if (needsRewrite() || grown)
     rewrite(table);
@@ -124,7 +124,7 @@
   rewrite_ = RewriteState::kNone;
   currentIsOwn_ = true;
   renameUnsynced_ = true;
-  ++figures_.rewrites;
+  ++statistics_.rewrites;
   committed();
 }
 
@@ -139,7 +139,7 @@
   lastCommitMs_ = parts_.clock.steadyMs();
   retryMs_ = 0;
   lastError_.reset();
-  ++figures_.commits;
+  ++statistics_.commits;
   sync();
 }
 
@@ -183,7 +183,7 @@
   const std::size_t before = file.bytes;
   file.bytes += put;
   parts_.disk.release(inBlocks(before + frames.size()) - inBlocks(file.bytes));
-  figures_.writtenBytes += put;
+  statistics_.writtenBytes += put;
   if (!error && put == frames.size()) return true;
   fail({CacheOperation::kWrite, error ? error->number : 0});
   return false;
@@ -200,7 +200,7 @@
 
 // The file stays, with the age that it states; after a pause the list is rewritten.
 void EndpointCache::fail(const CacheError& error) {
-  ++figures_.faults;
+  ++statistics_.faults;
   if (rewrite_ != RewriteState::kNone) discardNext();
   rewrite_ = RewriteState::kNone;
   currentIsOwn_ = false;
--- a/src/discovery/endpoint_cache.h
+++ b/src/discovery/endpoint_cache.h
@@ -71,7 +71,7 @@
     CacheTuning tuning;
   };
   // Since the start.
-  struct Figures {
+  struct Statistics {
     std::uint64_t commits = 0;
     std::uint64_t rewrites = 0;
     std::uint64_t slices = 0;
@@ -95,7 +95,7 @@
   // The syncer has a result to collect. `dueMs` may have changed afterwards.
   void onSynced();
 
-  const Figures& figures() const { return figures_; }
+  const Statistics& statistics() const { return statistics_; }
   std::size_t fileBytes() const { return current_.bytes; }
 
  private:
@@ -152,7 +152,7 @@
   double retryAtMs_ = -1e18;
   double retryMs_ = 0;
   std::optional<CacheError> lastError_;  // logged already
-  Figures figures_;
+  Statistics statistics_;
 };
 
 }  // namespace myrtleloft
--- a/src/relay/relay_process_counters.cpp
+++ b/src/relay/relay_process_counters.cpp
@@ -44,7 +44,7 @@
 }
 
 void RelayProcess::printEndpointCounters(std::ostream& out) const {
-  const EndpointCache::Figures& cache = endpointDirectory_.cache().figures();
+  const EndpointCache::Statistics& cache = endpointDirectory_.cache().statistics();
   const ListAge age = endpointDirectory_.age();
   out << "counters membership: rev=" << endpointDirectory_.endpoints().revision()
       << " endpoints=" << endpointDirectory_.endpoints().all().size()
--- a/tests/discovery/endpoint_cache_crash_test.cpp
+++ b/tests/discovery/endpoint_cache_crash_test.cpp
@@ -18,8 +18,8 @@
     states.push_back("");
     std::uint64_t commits = 0;
     const auto note = [&] {
-      if (process.directory.cache().figures().commits == commits) return;
-      commits = process.directory.cache().figures().commits;
+      if (process.directory.cache().statistics().commits == commits) return;
+      commits = process.directory.cache().statistics().commits;
       states.push_back(textOf(process.directory.endpoints().all()));
     };
     std::vector<EndpointRecord> many;
@@ -54,7 +54,7 @@
     RelayFixture process(completeDisk, clock, options);
     day(process, states);
     operations = process.files.operations();
-    CHECK(process.directory.cache().figures().rewrites >= 2);
+    CHECK(process.directory.cache().statistics().rewrites >= 2);
     CHECK(process.share.used == completeDisk.used());
   }
   const std::set<std::string> announced(states.begin(), states.end());
@@ -115,7 +115,7 @@
     std::vector<std::string> announced;
     RelayFixture process(disk, clock, options, true);
     CHECK(day(process, announced) == 24);
-    CHECK(process.directory.cache().figures().rewrites >= 3);
+    CHECK(process.directory.cache().statistics().rewrites >= 3);
     operations = process.files.operations();
   }
   REQUIRE(operations > 40);
--- a/tests/discovery/endpoint_cache_slices_test.cpp
+++ b/tests/discovery/endpoint_cache_slices_test.cpp
@@ -27,7 +27,7 @@
     std::size_t most = 0;
     for (std::size_t before = 0; process.directory.dueMs() <= clock.nowMs + 100; clock.nowMs += 2) {
       process.directory.tick();
-      const std::size_t written = process.directory.cache().figures().writtenBytes;
+      const std::size_t written = process.directory.cache().statistics().writtenBytes;
       most = std::max(most, written - before);
       before = written;
       // Changes meanwhile, before and behind the place that the writing has come to.
@@ -38,7 +38,7 @@
                               false));
     }
     CHECK(most < 256 * 120);
-    CHECK(process.directory.cache().figures().slices >= 3000 / 256);
+    CHECK(process.directory.cache().statistics().slices >= 3000 / 256);
     lab::FaultyFiles files(disk);
     const CachedList found = readCachedList(files, "/s", &kNames);
     CHECK(textOf(found.list) == textOf(process.directory.endpoints().all()));
@@ -137,8 +137,8 @@
     if (i % 50 == 0) process.advance(5);
   }
   process.finishDue();
-  const EndpointCache::Figures& figures = process.directory.cache().figures();
-  CHECK(figures.commits < 30);  // a second of changes, a commit each 100 ms
+  const EndpointCache::Statistics& statistics = process.directory.cache().statistics();
+  CHECK(statistics.commits < 30);  // a second of changes, a commit each 100 ms
   CHECK(disk.files.at("/s/members").size() < 40000);
   lab::FaultyFiles files(disk);
   CHECK(textOf(readCachedList(files, "/s", &kNames).list) == textOf(process.directory.endpoints().all()));
--- a/tests/integration/stale_starts_test.cpp
+++ b/tests/integration/stale_starts_test.cpp
@@ -62,7 +62,7 @@
   EndpointCache kept({files, clock, disk, std::cerr}, {folder, 1 << 20, 5, kNames, {}});
   kept.markChanged(set.apply(list, ListUpdateKind::kSnapshot, clock.wallMs()).changedUids);
   kept.markConfirmed();
-  while (kept.figures().commits == 0) kept.step(set);
+  while (kept.statistics().commits == 0) kept.step(set);
 }
 
 // A relay between clients, directories and endpoints of two destinations, 7 and 8.
