--- a/src/discovery/cached_list.cpp
+++ b/src/discovery/cached_list.cpp
@@ -12,30 +12,32 @@
 namespace myrtleloft {
 namespace {
 
-// The index in `names` of what stands under `index` in the file's own names.
-std::optional<int> indexIn(const std::vector<std::string>& names, const std::vector<std::string>& own,
+// Translates an index into the names of the file to an index into `names`. Returns std::nullopt if the file
+// has no such index, or `names` does not contain the name.
+std::optional<int> indexIn(const std::vector<std::string>& names, const std::vector<std::string>& fileNames,
                            std::int32_t index) {
-  if (index < 0 || static_cast<std::size_t>(index) >= own.size()) return std::nullopt;
-  return indexOf(names, own[static_cast<std::size_t>(index)]);
+  if (index < 0 || static_cast<std::size_t>(index) >= fileNames.size()) return std::nullopt;
+  return indexOf(names, fileNames[static_cast<std::size_t>(index)]);
 }
 
-// Reads the records up to the last commit into a CachedList.
+// Reads the records up to and including the last commit into a CachedList.
 class CacheReader {
  public:
   CacheReader(std::string_view bytes, std::uint64_t salt, const IndexNames* names, CachedList& found)
       : bytes_(bytes), salt_(salt), names_(names), found_(found) {}
 
+  // Returns false, with the fault set, if the file is unusable.
   bool run() {
     if (!findLastCommit()) return false;
     SegmentScanner scanner(bytes_.substr(0, end_), salt_, cache_format::kSequence,
                            SegmentScanner::kUnknownEnd);
     for (Piece piece = scanner.next(); piece.kind != Piece::Kind::kEnd; piece = scanner.next())
       if (!apply(piece.payload)) return fail(CacheFault::Reason::kUnreadableRecord, piece.offset);
-    if (read_.size() + found_.unknownNames != commit_.endpoints)
+    if (endpoints_.size() + found_.unknownNames != commit_.endpoints)
       return fail(CacheFault::Reason::kWrongCount, end_);
     found_.list.revision = commit_.revision;
     found_.list.complete = true;
-    for (auto& [uid, endpoint] : read_) found_.list.endpoints.push_back(std::move(endpoint));
+    for (auto& [uid, endpoint] : endpoints_) found_.list.endpoints.push_back(std::move(endpoint));
     found_.confirmedAt = {commit_.wallMs, commit_.machineMs, begin_.machineRun};
     found_.usable = true;
     return true;
@@ -47,6 +49,7 @@
     return false;
   }
 
+  // Sets `end_`. Returns false, with the fault set, if the file is corrupt or has no commit.
   bool findLastCommit() {
     SegmentScanner scanner(bytes_, salt_, cache_format::kSequence, SegmentScanner::kUnknownEnd);
     std::size_t seen = kSegmentHeaderBytes;
@@ -64,6 +67,7 @@
     return true;
   }
 
+  // Applies one record. Returns false if it is malformed.
   bool apply(std::string_view payload) {
     switch (static_cast<cache_format::Type>(payload.front())) {
       case cache_format::Type::kBegin:
@@ -77,10 +81,10 @@
           if (!put(endpoint)) return false;
         return true;
       }
-      case cache_format::Type::kGone: {
-        std::vector<std::string> gone;
-        if (!cache_format::read(payload, gone)) return false;
-        for (const std::string& uid : gone) remove(uid);
+      case cache_format::Type::kRemove: {
+        std::vector<std::string> removedUids;
+        if (!cache_format::read(payload, removedUids)) return false;
+        for (const std::string& uid : removedUids) remove(uid);
         return true;
       }
       case cache_format::Type::kCommit:
@@ -90,10 +94,11 @@
   }
 
   void remove(const std::string& uid) {
-    read_.erase(uid);
+    endpoints_.erase(uid);
     found_.unknownNames -= unknown_.erase(uid);
   }
 
+  // Adds an endpoint or replaces the one of the same uid. Returns false if the record is malformed.
   bool put(const cache_format::Endpoint& stored) {
     remove(stored.uid);
     EndpointRecord endpoint;
@@ -117,7 +122,7 @@
     endpoint.drainingSinceWallMs = stored.drainingSinceWallMs;
     endpoint.announcedByDelta = stored.announcedByDelta;
     endpoint.missing = stored.missing;
-    read_.emplace(stored.uid, std::move(endpoint));
+    endpoints_.emplace(stored.uid, std::move(endpoint));
     return true;
   }
 
@@ -125,11 +130,11 @@
   std::uint64_t salt_;
   const IndexNames* names_;
   CachedList& found_;
-  std::size_t end_ = 0;  // offset behind the last commit
+  std::size_t end_ = 0;  // the offset after the last commit
   cache_format::Begin begin_;
   cache_format::Commit commit_;
-  std::map<std::string, EndpointRecord> read_;
-  std::set<std::string> unknown_;  // uids whose zone or kind is unknown
+  std::map<std::string, EndpointRecord> endpoints_;  // by uid
+  std::set<std::string> unknown_;                    // uids whose zone or kind is not configured
 };
 
 }  // namespace
@@ -140,19 +145,19 @@
     case CacheFault::Reason::kRead:
       return std::strerror(static_cast<int>(fault.number));
     case CacheFault::Reason::kUnknownVersion:
-      return "format version " + std::to_string(fault.number) + " is not known";
+      return "format version " + std::to_string(fault.number) + " is not supported";
     case CacheFault::Reason::kHeader:
-      return "a damaged header";
+      return "corrupt header";
     case CacheFault::Reason::kCorrupt:
       return "damage" + atByte;
     case CacheFault::Reason::kNoCommit:
-      return "no whole list" + atByte;
+      return "no complete list committed" + atByte;
     case CacheFault::Reason::kUnreadableRecord:
-      return "an unreadable record" + atByte;
+      return "unreadable record" + atByte;
     case CacheFault::Reason::kWrongCount:
-      return "a wrong count" + atByte;
+      return "number of endpoints differs from the committed one" + atByte;
     case CacheFault::Reason::kCutOff:
-      return "cut off" + atByte;
+      return "truncated" + atByte;
   }
   return "";
 }
--- a/src/discovery/directory_rotation.cpp
+++ b/src/discovery/directory_rotation.cpp
@@ -7,8 +7,8 @@
 namespace myrtleloft {
 
 Backoff backoffFor(int relays, double minMs, double drainGraceMs, std::size_t directories) {
-  // With full jitter a relay polls once in half its pause: at the longest, the fleet polls half as often as
-  // it may.
+  // With full jitter the average pause is half of the maximum. So once the pause has grown to its maximum,
+  // the fleet polls half as often as kFleetPollSpacingMs allows.
   constexpr double kMaxPauseFactor = 4;
   const double fleetMs = kFleetPollSpacingMs * std::max(1, relays);
   const double intervalMs = PollSchedule::maxPollIntervalMs(directories);
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -7,15 +7,17 @@
 namespace myrtleloft {
 namespace {
 
-// Where another directory could be polled: a complete list comes without waiting, so that one which is silent
-// for so long is down.
-constexpr double kCompleteListSilenceMs = 2000;
-constexpr double kBetweenSlicesMs = 2;  // of the cache
-// After an answer without changes: a directory that does not hold long polls must not be polled without end.
-// Well under the 200 ms within which a long poll counts as continued.
+// The timeout of a poll for the complete list if another directory can be polled instead. A directory answers
+// such a poll immediately, so one that has not answered after this time is assumed to be down.
+constexpr double kCompleteListTimeoutMs = 2000;
+constexpr double kBetweenSlicesMs = 2;  // the pause between two slices of the cache
+// The pause after an answer without changes. Without it, a directory that answers long polls immediately
+// would be polled in a busy loop. It must stay well below the 200 ms within which a long poll counts as
+// continued.
 constexpr double kUnchangedPauseMs = 50;
-constexpr double kMaxListMs = 5000;  // of an answer, from its first byte to its last
-constexpr std::size_t kReadSliceBytes = std::size_t{32} * 1024;  // of an answer, in a turn of the loop
+constexpr double kMaxListMs = 5000;  // the maximum time from the first byte of an answer to its last
+// How much of an answer is parsed in one iteration of the event loop.
+constexpr std::size_t kReadSliceBytes = std::size_t{32} * 1024;
 
 }  // namespace
 
@@ -41,7 +43,7 @@
 
 void DiscoveryClient::onAddressChanged() {
   addressChanged_ = true;
-  rotation_.recordAnswer();  // the failures were those of the former address
+  rotation_.recordAnswer();  // failures of the old address do not count for the new one
   parts_.loop.cancel(addressTimer_);
   const double pauseMs = parts_.directory.freshness() == Freshness::kFresh ? rotation_.reloadDelayMs() : 0;
   if (pauseMs <= 0) return poll();
@@ -53,8 +55,9 @@
   if (addressChanged_) moveToNewAddress();
   const EndpointTable& table = parts_.directory.endpoints();
   const bool needsCompleteList = needsCompleteList_ || parts_.directory.needsCompleteList() || table.empty();
-  // With nothing new, a directory would let a list that is not fresh wait for its confirmation, while classes
-  // are rejected. Every other poll waits all the same: one that did not help is not repeated at once.
+  // A list that is not fresh needs confirmation, because some classes are rejected until it is confirmed. A
+  // directory without changes would hold a long poll, so the poll asks for an immediate answer. If that did
+  // not make the list fresh, the next poll is a long poll again, to avoid a busy loop.
   const bool immediate = parts_.directory.freshness() != Freshness::kFresh && !lastPollImmediate_;
   kind_ = needsCompleteList ? PollKind::kCompleteList
           : immediate       ? PollKind::kImmediate
@@ -84,11 +87,12 @@
 }
 
 void DiscoveryClient::openConnection() {
-  connection_.reset();  // its descriptor may be the only one left
-  // The timeout of armTimeout bounds polls that do not wait.
-  const double restMs = kind_ == PollKind::kLongPoll ? rotation_.answerTimeoutMs(kMaxListMs) : kMaxListMs;
+  connection_.reset();  // closed first, because its file descriptor may be the only one available
+  // Polls that are not long polls are bounded by the timeout of armTimeout instead.
+  const double listTimeoutMs =
+      kind_ == PollKind::kLongPoll ? rotation_.answerTimeoutMs(kMaxListMs) : kMaxListMs;
   connection_ = std::make_unique<ClientConnection>(
-      parts_.loop, address(), ClientConnection::AnswerLimits{options_.maxListBytes, restMs});
+      parts_.loop, address(), ClientConnection::AnswerLimits{options_.maxListBytes, listTimeoutMs});
 }
 
 std::string DiscoveryClient::target() const {
@@ -102,9 +106,9 @@
 void DiscoveryClient::armTimeout() {
   const double intervalMs = options_.backoff.maxPollIntervalMs;
   const bool mayRotate = kind_ == PollKind::kCompleteList && !options_.otherDirectories.empty();
-  const double maxMs = mayRotate ? std::min(kCompleteListSilenceMs, intervalMs) : intervalMs;
+  const double maxMs = mayRotate ? std::min(kCompleteListTimeoutMs, intervalMs) : intervalMs;
   pollTimer_ = parts_.loop.after(rotation_.answerTimeoutMs(maxMs), [this] {
-    // A long poll that has not been sent completely does not wait at the directory.
+    // A long poll that has not been sent completely cannot be waiting at the directory.
     if (kind_ != PollKind::kLongPoll || !connection_->lastByteWritten()) return onOverdue();
     const double untilMs = polledAtMs_ + rotation_.longPollTimeoutMs();
     pollTimer_ = parts_.loop.after(untilMs - parts_.loop.nowMs(), [this] { onOverdue(); });
@@ -112,14 +116,13 @@
 }
 
 void DiscoveryClient::onOverdue() {
-  if (!connection_->answerBegun()) return onSilence();
+  if (!connection_->answerBegun()) return onTimeout();
   previousConnection_ = std::move(connection_);
   poll();
 }
 
-// The known list stays. Polls again at once: the silence was pause enough.
-void DiscoveryClient::onSilence() {
-  rotation_.recordSilence();
+void DiscoveryClient::onTimeout() {
+  rotation_.recordTimeout();
   dropConnections();
   poll();
 }
@@ -134,7 +137,7 @@
 void DiscoveryClient::dropConnections() {
   connection_.reset();
   followsAnswer_ = false;
-  lastPollImmediate_ = false;  // it brought nothing: the next poll is of the same kind
+  lastPollImmediate_ = false;  // the poll got no answer, so the next one may be immediate too
   if (options_.otherDirectories.empty()) return;
   needsCompleteList_ = true;
   previousConnection_.reset();
@@ -144,28 +147,30 @@
   if (result.unsolicited) {
     ++parts_.counters.unsolicited;
     parts_.log.repeated(parts_.loop.nowMs(), LogLevel::kWarning, "answer.unsolicited",
-                        "bytes of discovery that answer no poll", {{"peer", "discovery"}});
+                        "discovery: received bytes that do not belong to the answer of a poll",
+                        {{"peer", "discovery"}});
   }
   const bool answered = result.end == ClientConnection::End::kAnswered && result.answer.status == 200;
   if (previousConnection_ && from == previousConnection_.get()) {
     if (!answered) return previousConnection_.reset();
-    connection_ = std::move(previousConnection_);  // the poll beside it would bring nothing more
+    connection_ = std::move(previousConnection_);  // the poll in flight is redundant
   }
   parts_.loop.cancel(pollTimer_);
   if (answered) previousConnection_.reset();
-  if (result.stalled) return onSilence();
-  // A poll that breaks right behind an answered one is no failure and no reason for a backoff. Nor is a long
-  // poll that breaks, once in a row: the directory may have a change that it could not send on that
-  // connection.
+  if (result.stalled) return onTimeout();
+  // If the connection breaks on the first poll after an answer, that is not a failure, and there is no
+  // backoff. The same holds for the first long poll that breaks since the last answer: the directory may have
+  // a change that it could not send on that connection.
   const bool broke = result.end == ClientConnection::End::kBroken;
-  const bool brokeBehindAnswer = broke && std::exchange(followsAnswer_, false);
+  const bool brokeAfterAnswer = broke && std::exchange(followsAnswer_, false);
   const bool longPollBroke = broke && kind_ == PollKind::kLongPoll;
-  if (brokeBehindAnswer || (longPollBroke && !std::exchange(longPollReopened_, true))) {
+  if (brokeAfterAnswer || (longPollBroke && !std::exchange(longPollReopened_, true))) {
     connection_.reset();
     return startPolling();
   }
   if (result.end != ClientConnection::End::kAnswered) return onPollFailed();
-  if (result.answer.status != 200) return onUnusableAnswer("status " + std::to_string(result.answer.status));
+  if (result.answer.status != 200)
+    return onUnusableAnswer("HTTP status " + std::to_string(result.answer.status));
   reader_.emplace(std::move(result.answer.body), options_.names);
   readSlice();
 }
@@ -183,8 +188,9 @@
   longPollReopened_ = false;
   followsAnswer_ = true;
   needsCompleteList_ = false;
-  // Soon: a long poll counts as continued if the next poll comes within 200 ms of the answer. A list that was
-  // not accepted would be the same again at once.
+  // The next poll follows soon, because a long poll counts as continued only if the next poll arrives within
+  // 200 ms of the answer. After a list that was not accepted there is a pause: the directory would only send
+  // the same list again.
   const bool notAccepted = parts_.directory.lastUpdateRejected();
   const double pauseMs = notAccepted ? options_.backoff.minMs : lastAnswerChanged_ ? 0 : kUnchangedPauseMs;
   pollTimer_ = parts_.loop.after(pauseMs, [this] { poll(); });
@@ -193,9 +199,9 @@
 void DiscoveryClient::onUnusableAnswer(const std::string& error) {
   ++parts_.counters.listFaults;
   if (error != lastError_)
-    parts_.log.write(LogLevel::kWarning, "list.unreadable", "discovery's list not taken: " + error,
+    parts_.log.write(LogLevel::kWarning, "list.unreadable", "discovery: endpoint list rejected: " + error,
                      {{"fault", error}, {"directory", rotation_.current()}});
-  lastError_ = error;  // polls may come ten times a second: the same error is logged once
+  lastError_ = error;  // a repeated error is logged once, as there may be ten polls per second
   onPollFailed();
 }
 
--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -1,14 +1,15 @@
-// Polls discovery for the endpoint list: one poll after the other, whatever becomes of each, at one of
+// Polls discovery for the endpoint list: one poll after another, regardless of their results, at one of
 // several directories in rotation.
 //
 //   DiscoveryClient client({loop, directory, counters, log}, config.discovery, options);
 //   client.start([&](EndpointListEvent event) { decisions(std::move(event)); });
 //
-// Decides nothing itself: EndpointDirectory decides what of an answer is accepted, DirectoryRotation which
-// directory is polled when. An answer that cannot be used is logged and counted, and the known list stays.
+// The client only does the I/O: EndpointDirectory decides whether an answer is applied, DirectoryRotation
+// which directory is polled and when. An answer that cannot be used is logged and counted, and the known list
+// is kept.
 //
-// Runs on the loop's thread and is used there only. Nothing waits or throws. An answer is read in slices of a
-// bounded size, one in each turn of the loop.
+// Not thread-safe: used on the event loop's thread only. No function blocks or throws. A long answer is
+// parsed in slices of bounded size, one per iteration of the loop.
 #pragma once
 
 #include <cstddef>
@@ -31,9 +32,9 @@
 
 class DiscoveryClient {
  public:
-  // Called on the loop's thread with each change of the endpoints.
+  // Called on the event loop's thread with each change of the endpoints.
   using ChangeCallback = std::function<void(EndpointListEvent)>;
-  // References outlive the instance.
+  // The objects that the client uses; they must outlive it.
   struct Parts {
     Loop& loop;
     EndpointDirectory& directory;
@@ -42,51 +43,60 @@
   };
   struct Options {
     IndexNames names;
-    std::vector<Address> otherDirectories;  // beside the configuration's
+    std::vector<Address> otherDirectories;  // in addition to the directory in the configuration
     Backoff backoff;
-    std::uint64_t seed = 0;  // of all random delays
-    // Of one answer; a longer one is an error.
+    std::uint64_t seed = 0;  // seeds all random delays
+    // The maximum size of an answer; a longer answer is an error.
     std::size_t maxListBytes = std::size_t{4} * 1024 * 1024;
   };
 
-  // `discovery`: the configuration's directory; it outlives the instance and may change.
+  // `discovery` is the address of the directory in the configuration. It must outlive the client, and may
+  // change; see onAddressChanged.
   DiscoveryClient(const Parts& parts, const Address& discovery, Options options);
 
-  // Begins to poll: at once where the list is not fresh, else within the start spread, so that a fleet that
-  // starts together does not poll together. Call once.
+  // Starts polling: immediately if the list is not fresh, otherwise after a random delay of at most the start
+  // spread, so that the relays of a fleet that starts do not all poll at the same time. Call once.
   void start(ChangeCallback changed);
-  // Discovery's address has changed, as it does for a whole fleet at one time: polls the new one for the
-  // complete list within the reload spread. Until then the current poll goes on, and its answer is used.
+  // Must be called after the address passed to the constructor has changed. Polls the new address for the
+  // complete list, after a random delay of at most the reload spread, because the address changes for all
+  // relays of a fleet at the same time. Until then the current poll continues, and its answer is used.
   void onAddressChanged();
-  // The cache's syncer has a result to collect.
+  // Must be called when the syncer of the endpoint cache has a result to collect.
   void onSynced();
 
  private:
   enum class PollKind {
-    kCompleteList,  // without a known revision; answered at once
-    kImmediate,     // changes since the known revision, answered at once
-    kLongPoll       // waits for a change
+    kCompleteList,  // requests the complete list; the directory answers immediately
+    kImmediate,     // requests the changes since the known revision; the directory answers immediately
+    kLongPoll       // requests the changes since the known revision; the directory waits until there are some
   };
 
+  // Polls immediately if the list is not fresh, otherwise after a random delay.
   void startPolling();
   void poll();
+  // Drops what belongs to the old address, and has the complete list requested from the new one.
   void moveToNewAddress();
   // Opens a connection for the next poll.
   void openConnection();
+  // The path and query of the next poll.
   std::string target() const;
   void armTimeout();
-  // The poll has no complete answer in time. An answer that has begun goes on beside the next poll.
+  // The poll has not been answered completely in time. If its answer has begun, the answer is still received
+  // while the next poll is in flight.
   void onOverdue();
-  // `from`: the connection that carried the poll; it may be gone afterwards.
+  // `from` is the connection that carried the poll; it may have been destroyed afterwards.
   void onResult(const ClientConnection* from, ClientConnection::Result result);
-  // Reads a slice of the answer, and applies it once all of it is read.
+  // Parses a slice of the answer, and applies the list once the whole answer is parsed.
   void readSlice();
   void applyList(const EndpointList& list);
   void onUnusableAnswer(const std::string& error);
+  // Polls the next directory after a backoff.
   void onPollFailed();
-  void onSilence();
-  // Drops what a poll without an answer leaves behind.
+  // No byte of an answer, or no further byte, arrived in time: polls the next directory without a pause.
+  void onTimeout();
+  // Closes the connections of a poll that failed or timed out, and resets the state that belongs to them.
   void dropConnections();
+  // Has the endpoint directory do the work that is due, such as writing a slice of the cache.
   void tick();
   void scheduleTick();
   const Address& address() const {
@@ -100,17 +110,18 @@
   DirectoryRotation rotation_;
   ChangeCallback onChange_;
   PollKind kind_ = PollKind::kLongPoll;  // of the last poll
-  double polledAtMs_ = 0;                // when it began
-  bool lastPollImmediate_ = false;       // the list was not fresh and the poll before it not immediate
-  bool needsCompleteList_ = false;       // the directory or its address has changed
-  bool lastAnswerChanged_ = false;       // the last answer had another revision than was known
-  bool addressChanged_ = false;          // and the new address has not been polled yet
-  bool longPollReopened_ = false;        // a long poll broke and was repeated, without an answer since
-  bool followsAnswer_ = false;           // the poll before the last one was answered
-  std::string lastError_;
+  double polledAtMs_ = 0;                // when the last poll started
+  bool lastPollImmediate_ = false;       // whether the last poll was immediate because the list was not fresh
+  bool needsCompleteList_ = false;       // whether the directory polled or its address has changed
+  bool lastAnswerChanged_ = false;       // whether the last answer changed the known revision
+  bool addressChanged_ = false;          // whether there is a new address that has not been polled yet
+  bool longPollReopened_ = false;        // whether a long poll was repeated after a broken connection, and no
+                                         // poll has been answered since
+  bool followsAnswer_ = false;           // whether the last poll directly follows one that was answered
+  std::string lastError_;                // why the last answer was unusable; empty if it was usable
   std::unique_ptr<ClientConnection> connection_;
-  std::unique_ptr<ClientConnection> previousConnection_;  // of the poll before, whose answer goes on
-  std::optional<ListReader> reader_;                      // of the answer that is being read
+  std::unique_ptr<ClientConnection> previousConnection_;  // of an overdue poll whose answer has begun
+  std::optional<ListReader> reader_;                      // parses the current answer
   Loop::Timer pollTimer_ = Loop::kNoTimer;
   Loop::Timer tickTimer_ = Loop::kNoTimer;
   Loop::Timer addressTimer_ = Loop::kNoTimer;
--- a/src/discovery/endpoint_cache.cpp
+++ b/src/discovery/endpoint_cache.cpp
@@ -37,7 +37,7 @@
   if (!files) return;
   for (const FileSeen& file : *files) {
     if (file.name == kCacheFileName) current_.bytes = file.bytes;
-    // Left by a process that ended during a rewrite.
+    // An earlier process ended during a rewrite.
     if (file.name == kNextName && !parts_.files.remove(path(kNextName)))
       parts_.disk.release(inBlocks(file.bytes));
   }
@@ -58,10 +58,10 @@
 double EndpointCache::dueMs() const {
   if (!pending_ || rewrite_ == RewriteState::kAwaitingSync) return std::numeric_limits<double>::infinity();
   const CacheTuning& tuning = options_.tuning;
-  // Once a slice is written, the next one follows as soon as the loop has turned.
-  const double wanted =
+  // The slices of a rewrite follow each other without a pause.
+  const double wantedMs =
       needsRewrite() ? 0 : lastCommitMs_ + (dirty_.empty() ? tuning.confirmIntervalMs : tuning.debounceMs);
-  return std::max(wanted, retryAtMs_);
+  return std::max(wantedMs, retryAtMs_);
 }
 
 void EndpointCache::step(const EndpointTable& table) {
@@ -80,7 +80,7 @@
   if (begins && !beginRewrite(frames)) return;
   const auto at = begins ? table.all().begin() : table.all().upper_bound(cursor_);
   const bool complete = appendSlice(table, at, frames);
-  // Endpoints that have changed or gone since they were written.
+  // Add the endpoints that were changed or removed since their slice was written.
   if (complete) frames += takeDirty(table);
   if (!write(next_, frames)) return;
   if (!complete || !dirty_.empty()) return;
@@ -115,7 +115,7 @@
 }
 
 void EndpointCache::replace() {
-  rewrite_ = RewriteState::kWriting;  // a failure discards the new file
+  rewrite_ = RewriteState::kWriting;  // so that `fail` discards the new file
   if (const auto error = parts_.files.rename(path(kNextName), path(kCacheFileName)))
     return fail({CacheOperation::kRename, error->number});
   parts_.disk.release(inBlocks(current_.bytes));
@@ -158,7 +158,8 @@
 void EndpointCache::onSynced() {
   while (const auto done = parts_.syncer->collect()) {
     syncing_ = false;
-    // After a failed fdatasync a further one proves nothing: the list is rewritten.
+    // After a failed fdatasync, the success of a later one does not prove that the data is on disk, so the
+    // list is rewritten.
     if (done->error)
       fail({CacheOperation::kSync, done->error->number});
     else if (done->position == attempt_)
@@ -169,9 +170,9 @@
 
 bool EndpointCache::reserveGrowth(const File& file, std::size_t bytes) {
   const std::size_t grows = inBlocks(file.bytes + bytes) - inBlocks(file.bytes);
-  // A rewrite exists beside the file that it replaces.
-  const std::size_t other = &file == &next_ ? inBlocks(current_.bytes) : 0;
-  return inBlocks(file.bytes + bytes) + other <= options_.maxBytes && parts_.disk.reserve(grows);
+  // During a rewrite the old file exists too.
+  const std::size_t otherBytes = &file == &next_ ? inBlocks(current_.bytes) : 0;
+  return inBlocks(file.bytes + bytes) + otherBytes <= options_.maxBytes && parts_.disk.reserve(grows);
 }
 
 bool EndpointCache::write(File& file, const std::string& frames) {
@@ -179,12 +180,12 @@
     fail({CacheOperation::kReserve, ENOSPC});
     return false;
   }
-  const auto [put, error] = file.out->append(frames);
+  const auto [appendedBytes, error] = file.out->append(frames);
   const std::size_t before = file.bytes;
-  file.bytes += put;
+  file.bytes += appendedBytes;
   parts_.disk.release(inBlocks(before + frames.size()) - inBlocks(file.bytes));
-  statistics_.writtenBytes += put;
-  if (!error && put == frames.size()) return true;
+  statistics_.writtenBytes += appendedBytes;
+  if (!error && appendedBytes == frames.size()) return true;
   fail({CacheOperation::kWrite, error ? error->number : 0});
   return false;
 }
@@ -198,7 +199,6 @@
   next_ = {};
 }
 
-// The file stays, with the age that it states; after a pause the list is rewritten.
 void EndpointCache::fail(const CacheError& error) {
   ++statistics_.faults;
   if (rewrite_ != RewriteState::kNone) discardNext();
@@ -208,7 +208,7 @@
   renameUnsynced_ = false;
   pending_ = true;
   ++attempt_;
-  dirty_.clear();  // it would grow for as long as the disk fails
+  dirty_.clear();  // the rewrite covers all endpoints; the set must not grow while the disk fails
   current_.out.reset();
   retryMs_ = std::clamp(2 * retryMs_, options_.tuning.minRetryMs, options_.tuning.maxRetryMs);
   retryAtMs_ = parts_.clock.steadyMs() + retryMs_;
@@ -216,7 +216,7 @@
     const char* operation = nameOf(error.operation);
     const std::string reason = std::strerror(error.number);
     parts_.log.write(LogLevel::kError, "list.fault",
-                     std::string("discovery: cannot ") + operation + " the list of endpoints: " + reason,
+                     std::string("discovery: cannot ") + operation + " the cached endpoint list: " + reason,
                      {{"what", operation}, {"error", reason}});
   }
   lastError_ = error;
--- a/src/discovery/endpoint_cache_format.h
+++ b/src/discovery/endpoint_cache_format.h
@@ -1,8 +1,10 @@
-// The records of the cache file, for its reader and its writer.
+// The record types of the cache file, for its reader (cached_list.h) and its writer (endpoint_cache.h).
 //
-// The file has the form of a journal segment: a header with a salt, then checksummed frames. A frame's
-// payload is a type byte and a record's fields in the order of its serialize function; that order and the
-// types' letters are the format, and change only with kCacheVersion. No shared state.
+// The file has the format of a journal segment: a header with a salt, followed by checksummed frames. The
+// payload of a frame is a type byte and the fields of the record in the order of its serialize function. That
+// order and the type bytes are part of the format, and may change only together with kCacheVersion.
+//
+// Thread-safe: there is no shared state.
 #pragma once
 
 #include <cstdint>
@@ -17,14 +19,15 @@
 
 namespace myrtleloft::cache_format {
 
-// The first record: in which run of the machine the file was written, and what its indexes mean.
+// The first record of the file: the boot of the machine in which the file was written, and the names that the
+// indexes of zones and kinds refer to.
 struct Begin {
   std::uint32_t version = kCacheVersion;
   std::string machineRun;
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
 };
-// One endpoint; replaces an earlier record of its uid. Fields as in EndpointRecord.
+// One endpoint; replaces an earlier record of the same uid. The fields are those of EndpointRecord.
 struct Endpoint {
   std::string uid;
   std::string address;
@@ -38,7 +41,8 @@
   bool announcedByDelta = false;
   bool missing = false;
 };
-// The records before it are a complete list: its revision, when discovery confirmed it, and its length.
+// States that the records before it form a complete list: its revision, when discovery confirmed it, and its
+// number of endpoints.
 struct Commit {
   std::int64_t revision = 0;
   double wallMs = 0;
@@ -61,11 +65,11 @@
   archive(commit.revision, commit.wallMs, commit.machineMs, commit.endpoints);
 }
 
-inline constexpr std::uint64_t kSequence = 0;  // no segment of the journal has it
+inline constexpr std::uint64_t kSequence = 0;  // a sequence number that no journal segment has
 inline constexpr std::size_t kEndpointsPerFrame = 32;
 
-// The first byte of a payload.
-enum class Type : char { kBegin = 'B', kPut = 'P', kGone = 'G', kCommit = 'C' };
+// The first byte of a payload. kRemove records hold the uids of endpoints that were removed.
+enum class Type : char { kBegin = 'B', kPut = 'P', kRemove = 'G', kCommit = 'C' };
 
 // Appends the record as a frame. O(size).
 template <typename T>
@@ -77,8 +81,8 @@
   closeFrame(out, at, salt, kSequence);
 }
 
-// Reads a frame's payload behind its type; false: it is not of that form, and the record's content
-// unspecified.
+// Decodes the payload of a frame, without its type byte. Returns false if the payload is malformed; the
+// content of `record` is then unspecified.
 template <typename T>
 bool read(std::string_view payload, T& record) try {
   TextIn archive(payload.substr(1));
--- a/src/discovery/endpoint_cache_slices.cpp
+++ b/src/discovery/endpoint_cache_slices.cpp
@@ -1,4 +1,4 @@
-// The records that a slice of the endpoint cache consists of.
+// Builds the records of a slice of the endpoint cache.
 #include <algorithm>
 #include <cstddef>
 #include <string>
@@ -50,13 +50,13 @@
 std::string EndpointCache::takeDirty(const EndpointTable& table) {
   std::string frames;
   std::vector<cache_format::Endpoint> put;
-  std::vector<std::string> gone;
+  std::vector<std::string> removedUids;
   for (std::size_t left = options_.tuning.endpointsPerSlice; left > 0 && !dirty_.empty(); --left) {
     const auto first = dirty_.begin();
     if (const EndpointRecord* entry = table.findByUid(*first))
       put.push_back(stored(*entry));
     else
-      gone.push_back(*first);
+      removedUids.push_back(*first);
     dirty_.erase(first);
   }
   for (std::size_t i = 0; i < put.size(); i += cache_format::kEndpointsPerFrame) {
@@ -66,8 +66,8 @@
         frames, options_.salt, cache_format::Type::kPut,
         std::vector<cache_format::Endpoint>(put.begin() + static_cast<std::ptrdiff_t>(i), end));
   }
-  if (!gone.empty())
-    cache_format::appendFrame(frames, options_.salt, cache_format::Type::kGone, std::move(gone));
+  if (!removedUids.empty())
+    cache_format::appendFrame(frames, options_.salt, cache_format::Type::kRemove, std::move(removedUids));
   if (dirty_.empty())
     cache_format::appendFrame(frames, options_.salt, cache_format::Type::kCommit,
                               cache_format::Commit{table.revision(), confirmedAt_.wallMs,
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -30,19 +30,21 @@
 
   if (source != InitialSource::kNothing)
     confirmedAt_ = fromCache ? cached.confirmedAt : configuredOffer.confirmedAt;
-  // A configured list of unknown age but later revision was announced after the cached list was confirmed.
+  // If the age of the configured list is unknown, its later revision shows that it was announced after the
+  // cached list was confirmed. That time is then an upper bound of its age.
   if (source == InitialSource::kConfigured && cached.usable && cached.complete && !age().known)
     confirmedAt_ = cached.confirmedAt;
   complete_ = !fromCache || cached.complete;
   if (source != InitialSource::kNothing) logInitialList(source, initial.revision);
 
   TableUpdate update = table_.apply(initial, ListUpdateKind::kCached, confirmedAt_.wallMs);
-  // Cached at once: after a restart before discovery's first answer, the list's age would be unknown.
+  // The list is cached now, because its age would be unknown after a restart before discovery's first answer.
   if (options_.cacheEnabled && source == InitialSource::kConfigured && age().known) {
     cache_.markChanged(update.changedUids);
     cache_.markConfirmed(age().ms);
   }
-  // What the previous process's guard retained: deltas do not mention it, only a complete list resolves it.
+  // The table may contain missing endpoints that the guard of the previous process retained. Deltas do not
+  // mention them, so only a complete list shows whether they still exist.
   needsCompleteList_ = std::any_of(table_.all().begin(), table_.all().end(),
                                    [](const auto& known) { return known.second.missing; });
   return std::move(update.event);
@@ -75,9 +77,8 @@
   const ListAge listAge = age();
   const std::string seconds = listAge.known ? std::to_string(std::llround(listAge.ms / 1000)) : "unknown";
   parts_.log.write(LogLevel::kInfo, "list.initial",
-                   std::string("discovery: beginning with the ") +
-                       (fromCache ? "kept list" : "list of the configuration") + ", rev " +
-                       std::to_string(revision) +
+                   std::string("discovery: starting with the ") +
+                       (fromCache ? "cached list" : "configured list") + ", rev " + std::to_string(revision) +
                        (listAge.known ? ", last confirmed " + seconds + " s ago, " : ", of unknown age, ") +
                        nameOf(freshness()),
                    {{"from", fromCache ? "cached" : "configuration"},
@@ -90,8 +91,9 @@
   const ReceivedAnswer answer{list.revision, list.complete, answered_ && directory != lastDirectory_};
   const UpdateDecision decision =
       decideUpdate(answer, table_.empty() ? std::nullopt : std::optional(table_.revision()), freshness());
-  // A single lagging answer would undo drains that began since; a directory that was restored answers so
-  // again.
+  // A single answer of an earlier revision may be a delayed one; applying it would undo drains that were
+  // announced since. A directory that was restored from a backup sends such an answer again, and then it is
+  // applied.
   const bool lags = decision == UpdateDecision::kApplyRollback && answered_ &&
                     freshness() == Freshness::kFresh && !rollbackSuspected_;
   rollbackSuspected_ = rollbackSuspected_ || lags || decision == UpdateDecision::kGap;
@@ -127,17 +129,17 @@
   };
   switch (decision) {
     case UpdateDecision::kApply:
-    case UpdateDecision::kForeignDelta:  // expected whenever the directory changes
+    case UpdateDecision::kForeignDelta:  // expected when the relay has switched to another directory
       return;
     case UpdateDecision::kApplyRollback:
-      return logRepeated("list.back", "the directory has gone back from rev " + ours + " to " + theirs);
+      return logRepeated("list.back", "the directory went back from revision " + ours + " to " + theirs);
     case UpdateDecision::kGap:
-      return logRepeated("list.gap", "a change of rev " + theirs + " does not follow on rev " + ours +
-                                         "; polling for the complete list");
+      return logRepeated("list.gap", "a delta of revision " + theirs + " does not follow revision " + ours +
+                                         "; requesting the complete list");
     case UpdateDecision::kContradicted:
-      return logRepeated("list.contradicted", "directory " + std::to_string(directory) + " has rev " +
-                                                  theirs + ", rev " + ours +
-                                                  " came from another; not applied while that is fresh");
+      return logRepeated("list.contradicted", "directory " + std::to_string(directory) + " sent revision " +
+                                                  theirs + ", older than revision " + ours +
+                                                  " of another directory; ignored while that is fresh");
   }
 }
 
@@ -152,8 +154,8 @@
   if (wasActive) return true;
   ++parts_.counters.listsRejected;
   parts_.log.write(LogLevel::kWarning, "list.guard",
-                   "discovery: a list leaves out " + std::to_string(missing) + " of " +
-                       std::to_string(table_.all().size()) + " endpoints at once; they are kept for now",
+                   "discovery: a complete list omits " + std::to_string(missing) + " of " +
+                       std::to_string(table_.all().size()) + " endpoints; retaining them for now",
                    {{"missing", missing}, {"endpoints", table_.all().size()}});
   return true;
 }
@@ -171,10 +173,10 @@
   if (!guard_.expired(nowMs)) return std::nullopt;
   guard_.close();
   TableUpdate update = table_.removeMissing();
-  parts_.log.write(
-      LogLevel::kWarning, "list.guard-over",
-      "discovery: " + std::to_string(update.changedUids.size()) + " endpoints that were left out go now",
-      {{"endpoints", update.changedUids.size()}});
+  parts_.log.write(LogLevel::kWarning, "list.guard-over",
+                   "discovery: removed " + std::to_string(update.changedUids.size()) +
+                       " endpoints that complete lists have omitted",
+                   {{"endpoints", update.changedUids.size()}});
   if (options_.cacheEnabled) cache_.markChanged(update.changedUids);
   if (update.event.entries.empty()) return std::nullopt;
   return std::move(update.event);
@@ -193,7 +195,7 @@
       rejected += " " + requestClass.name;
   if (rejected.empty()) rejected = " none";
   parts_.log.write(state == Freshness::kFresh ? LogLevel::kInfo : LogLevel::kWarning, "list.freshness",
-                   std::string("discovery: the list is ") + nameOf(state) + "; refused are:" + rejected,
+                   std::string("discovery: the list is ") + nameOf(state) + "; rejected classes:" + rejected,
                    {{"freshness", nameOf(state)}, {"rejected", rejected.substr(1)}});
   loggedFreshness_ = state;
 }
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -6,9 +6,9 @@
 namespace myrtleloft {
 namespace {
 
-constexpr std::size_t kMaxUidBytes = 1024;  // bounds the records of the cache file
+constexpr std::size_t kMaxUidBytes = 1024;  // limits the size of the records in the cache file
 
-// Discovery's keys and states.
+// The keys of discovery's protocol.
 constexpr const char* kRevisionKey = "rev";
 constexpr const char* kCompleteKey = "all";
 constexpr const char* kEndpointsKey = "targets";
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-std::string_view uidOfEndpoint(std::string_view target) {
-  return target.substr(0, target.find(kReusedUidSeparator));
+std::string_view uidOfEndpoint(std::string_view endpointId) {
+  return endpointId.substr(0, endpointId.find(kReusedUidSeparator));
 }
 
 std::optional<int> indexOf(const std::vector<std::string>& names, std::string_view name) {
@@ -55,13 +55,13 @@
     case ListError::Reason::kEntryJson:
       return entry + ": " + error.detail;
     case ListError::Reason::kEntryTooLong:
-      return entry + " is too long";
+      return entry + ": too long";
     case ListError::Reason::kEntryNotObject:
-      return entry + " is no object";
+      return entry + ": not an object";
     case ListError::Reason::kEntrySeparator:
-      return entry + ": neither a comma nor the end before it";
+      return entry + ": expected a comma or the end of the list before it";
     case ListError::Reason::kTruncated:
-      return entry + ": the answer ends before it does";
+      return entry + ": the answer is truncated";
   }
   return error.detail;
 }
@@ -76,7 +76,7 @@
   endpoint.info.endpoint = *uid;
   endpoint.info.state = *state;
   endpoint.info.rating = value.number(kRatingKey).value_or(1);
-  // Of a removed endpoint only the uid matters.
+  // Only the uid of a removed endpoint is used, so the other keys may be missing.
   if (*state == EndpointState::kRemoved) return endpoint;
 
   const auto zoneName = value.string(kZoneKey);
--- a/src/discovery/endpoint_table.cpp
+++ b/src/discovery/endpoint_table.cpp
@@ -6,16 +6,17 @@
 namespace myrtleloft {
 namespace {
 
-// Whether discovery announces an endpoint just as it is known.
+// Whether an announced endpoint has the same properties as the known one.
 bool sameEndpoint(const EndpointRecord& known, const EndpointRecord& announced) {
   return !known.missing && known.address.text == announced.address.text &&
          known.info.zone == announced.info.zone && known.info.state == announced.info.state &&
          known.info.rating == announced.info.rating;
 }
 
-// The times of an endpoint that is new or has changed. `drainingSinceWallMs`: of what it was before.
+// Sets the times of an endpoint that is new or has changed. `drainingSinceWallMs` is that of the endpoint
+// before the change, 0 if it is new.
 void setTimes(EndpointRecord& endpoint, double drainingSinceWallMs, bool byDelta, double wallMs) {
-  // A cached list states when each was announced; discovery's list does not.
+  // A cached list contains the time at which each endpoint was announced; discovery's list does not.
   if (endpoint.announcedWallMs == 0) {
     endpoint.announcedWallMs = wallMs;
     endpoint.announcedByDelta = byDelta;
@@ -92,7 +93,7 @@
 void EndpointTable::applyRemoval(const std::string& uid, bool completeList, TableUpdate& update) {
   const auto known = endpoints_.find(uid);
   if (known == endpoints_.end()) return;
-  // A delta's event states where the endpoint was: the delta may name nothing but the uid.
+  // The event of a delta contains all properties of the removed endpoint; the delta may contain only its uid.
   if (!completeList) update.event.entries.push_back(removed(known->second.info));
   update.changedUids.push_back(uid);
   remove(known);
@@ -142,9 +143,9 @@
   return at == endpoints_.end() ? nullptr : &at->second;
 }
 
-const EndpointRecord* EndpointTable::find(std::string_view target) const {
-  const EndpointRecord* entry = findByUid(uidOfEndpoint(target));
-  return entry && entry->info.endpoint == target ? entry : nullptr;
+const EndpointRecord* EndpointTable::find(std::string_view endpointId) const {
+  const EndpointRecord* entry = findByUid(uidOfEndpoint(endpointId));
+  return entry && entry->info.endpoint == endpointId ? entry : nullptr;
 }
 
 }  // namespace myrtleloft
--- a/src/discovery/freshness.cpp
+++ b/src/discovery/freshness.cpp
@@ -5,11 +5,12 @@
 namespace myrtleloft {
 namespace {
 
-constexpr double kClockStepMs = 1000;  // the largest correction of a clock in normal operation
+constexpr double kClockStepMs = 1000;  // the largest correction of a wall clock in normal operation
 constexpr double kRetryAfterAgeingMs = 2000;
 constexpr double kRetryAfterStaleMs = 5000;
 constexpr double kRetryAfterExpiredMs = 15000;
 
+// Whether both times are of the same boot of the machine, so that its clock can be compared.
 bool sameRun(const Stamp& earlier, const Stamp& later) {
   return !earlier.machineRun.empty() && earlier.machineRun == later.machineRun &&
          earlier.machineMs <= later.machineMs;
--- a/src/discovery/list_reader.cpp
+++ b/src/discovery/list_reader.cpp
@@ -9,8 +9,8 @@
 namespace myrtleloft {
 namespace {
 
-constexpr std::size_t kMembersDepth = 1;  // brackets open around the list's own members
-constexpr std::size_t kEntriesDepth = 2;  // around the entries of `targets`
+constexpr std::size_t kMembersDepth = 1;  // the number of open brackets around the members of the list object
+constexpr std::size_t kEntriesDepth = 2;  // the number of open brackets around the entries of `targets`
 constexpr std::size_t kTypicalEntryBytes = 128;
 
 bool isSpace(char character) {
@@ -20,7 +20,7 @@
 }  // namespace
 
 ListReader::ListReader(std::string body, const IndexNames& names) : body_(std::move(body)), names_(names) {
-  // Reserved at once: a reallocation would move all of them within one slice.
+  // Reserved in advance, because a reallocation would move all endpoints within a single slice.
   endpoints_.reserve(body_.size() / kTypicalEntryBytes + 1);
 }
 
@@ -105,8 +105,8 @@
 ListResult ListReader::take() {
   if (phase_ == Phase::kEntries && !error_) fail(ListError::Reason::kTruncated);
   if (error_) return *error_;
-  // The entries that were read have been cut out of the text. All are still in it where "targets" is written
-  // with escapes, which only the JSON library resolves.
+  // The parsed entries have been removed from the text. If the key "targets" is written with escapes, which
+  // only the JSON library decodes, no entry was found, and all of them are parsed here.
   std::string jsonError;
   const auto value = json::parse(body_, jsonError);
   if (!value) return ListError{ListError::Reason::kJson, 0, jsonError};
--- a/src/discovery/list_reader.h
+++ b/src/discovery/list_reader.h
@@ -1,13 +1,14 @@
-// Reads discovery's answer in slices, so that a long list does not block the event loop.
+// Parses discovery's answer in slices, so that a long list does not block the event loop.
 //
 //   ListReader reader(std::move(body), names);
-//   if (!reader.step(kSliceBytes)) ...  // again in the loop's next turn
+//   if (!reader.step(kSliceBytes)) ...  // call again in the next iteration of the loop
 //   const ListResult result = reader.take();
 //
-// It finds where the entries of `targets` begin and end, has the JSON library read one after the other, and
-// at last the text around them. So it is as strict as readList on the complete text, and adds one bound: an
-// entry longer than kMaxEntryBytes is an error. Not thread-safe; no I/O. A step costs O(its bytes), and at
-// most one entry more; `take` O(the text around the entries).
+// The reader finds where each entry of `targets` begins and ends, and has the JSON library parse the entries
+// one by one, and finally the text around them. It is therefore as strict as readList on the complete text.
+// In addition, an entry longer than kMaxEntryBytes is an error.
+//
+// Not thread-safe. No I/O. A step is O(its bytes + one entry), `take` is O(text around the entries).
 #pragma once
 
 #include <cstddef>
@@ -23,25 +24,29 @@
  public:
   static constexpr std::size_t kMaxEntryBytes = std::size_t{64} * 1024;
 
-  // `names` must outlive it.
+  // `names` must outlive the reader.
   ListReader(std::string body, const IndexNames& names);
 
-  // Reads at most `bytes` further. true: all is read, or an error was found.
+  // Reads up to `bytes` more bytes. Returns true if the answer has been read completely or an error was
+  // found.
   bool step(std::size_t bytes);
-  // The complete list or the first error. Call once, after `step` has returned true.
+  // Returns the complete list or the first error. Call once, after `step` has returned true.
   ListResult take();
 
  private:
   enum class Phase { kBeforeEntries, kEntries, kAfterEntries };
-  // Before the entries: the token just before this place, among the list's own members.
+  // The token before the current byte, as far as it matters for finding the array `targets`.
   enum class Preceding { kOther, kTargetsName, kTargetsColon };
-  // Between entries: what may follow.
+  // What may follow between two entries.
   enum class Expected { kEntryOrEnd, kEntry, kCommaOrEnd };
 
-  // The byte at at_, outside of strings.
+  // Handles the byte at `at_`, which is not inside a string.
   void readStructure(char character);
+  // The same for a byte between two entries.
   void betweenEntries(char character);
+  // Handles the end of a string.
   void closeString();
+  // Has the JSON library parse the entry that ends at `at_`.
   void readEntry();
   void fail(ListError::Reason reason, std::string detail = {});
 
@@ -50,14 +55,14 @@
   Phase phase_ = Phase::kBeforeEntries;
   Preceding preceding_ = Preceding::kOther;
   Expected expected_ = Expected::kEntryOrEnd;
-  // Offsets in body_.
+  // These four are offsets in `body_`.
   std::size_t at_ = 0;
   std::size_t stringStart_ = 0;
   std::size_t entriesStart_ = 0;
   std::size_t entryStart_ = 0;
-  std::size_t depth_ = 0;  // brackets open
+  std::size_t depth_ = 0;  // the number of open brackets
   bool inString_ = false;
-  bool escaped_ = false;  // the byte before was a backslash within a string
+  bool escaped_ = false;  // whether the byte before `at_` was a backslash that escapes it
   std::vector<EndpointRecord> endpoints_;
   std::optional<ListError> error_;
 };
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -1,20 +1,22 @@
-// When the next poll of discovery must begin, so that a drain is known before the grace for drains is over.
-// Without I/O; times in ms; constexpr and safe for several threads. All bounds follow from the protocol's
-// figures and the settings.
+// Bounds on the time until the next poll of discovery must start, so that a drain is known before its grace
+// period ends. All bounds follow from constants of the protocol and from the settings.
 //
-// A change counts as notified at the latest
-//   kNotifiedByMs after discovery had it and could be reached, whatever became of earlier polls;
-//   kNotifiedAfterWaitMs after the wait of a long poll, where that is later;
-//   kNotifiedAfterReloadMs after SIGHUP, for the new address.
-// From then on only the grace for drains is left before a call to a draining endpoint breaks a rule. A poll
-// without faults takes at most kPollMs: a lost SYN is repeated after 1 s.
+// By the protocol, the relay counts as notified of a change at the latest
+//   kNotifiedByMs after discovery had the change and was reachable, regardless of the results of earlier
+//   polls; kNotifiedAfterWaitMs after the wait of a long poll has ended, if that is later;
+//   kNotifiedAfterReloadMs after SIGHUP, if the address of discovery has changed.
+// From then on the relay has the drain grace period, after which calls to a draining endpoint are not
+// allowed. A poll without faults takes kPollMs at most, because a lost SYN is retransmitted after 1 s.
 //
-// So at most maxPollIntervalMs may pass from the beginning of one poll to that of the next, whether the first
-// is rejected, unreadable, silent or stalled, and however often that happened: poll and pause share one
-// bound. In the worst case discovery has the change, and can be reached, just after a poll began that fails
-// at its very end:
-//   maxPollIntervalMs + the least pause + the next poll  <=  kNotifiedByMs + grace,
-// which leaves that poll kPollMs + grace less the least pause (100 ms unless the operator sets one).
+// Therefore at most maxPollIntervalMs may pass from the start of one poll to the start of the next, whether
+// the first is rejected, malformed, unanswered or stalled, and regardless of how many polls have failed: the
+// poll and the pause after it share one bound. In the worst case, discovery has the change and becomes
+// reachable just after the start of a poll that fails at its very end:
+//   maxPollIntervalMs + minimum pause + next poll  <=  kNotifiedByMs + grace period
+// This leaves kPollMs + grace period - minimum pause for the next poll. The minimum pause is 100 ms, unless
+// the operator sets another.
+//
+// Thread-safe: all members are constexpr. Times are in ms.
 #pragma once
 
 #include <algorithm>
@@ -27,19 +29,21 @@
   static constexpr double kNotifiedAfterWaitMs = 2000;
   static constexpr double kNotifiedAfterReloadMs = 4000;
   static constexpr double kPollMs = 1000;
-  static constexpr int kLongPollMs = 10000;  // how long a long poll may wait for a change
+  static constexpr int kLongPollMs = 10000;  // how long the directory holds a long poll without a change
 
-  // The most from the beginning of one poll to that of the next. Of several directories perhaps only one can
-  // be reached: all are polled within the bound. `directories`: at least 1; 0 counts as 1.
+  // The maximum interval between the start of a poll and the start of the next one. Possibly only one of
+  // several directories is reachable, so the bound covers a poll of each. `directories` is their number; 0
+  // counts as 1.
   static constexpr double maxPollIntervalMs(std::size_t directories) {
     return (kNotifiedByMs - kPollMs) / static_cast<double>(std::max<std::size_t>(1, directories));
   }
-  // The same for a long poll that was sent and stays silent: what it misses counts later.
+  // The same for a long poll that has been sent and gets no answer. It is longer, because the relay counts as
+  // notified of a change that the poll misses only after the poll's wait.
   static constexpr double kMaxLongPollIntervalMs = kLongPollMs + kNotifiedAfterWaitMs - kPollMs;
-  // By how much earlier it may be ended without cutting off an answer sent at the wait's end.
+  // By how much that timeout may be shortened without losing an answer that was sent at the end of the wait.
   static constexpr double kLongPollEarlyMs = (kNotifiedAfterWaitMs - kPollMs) / 2;
 
-  // The most that the first poll may be delayed after SIGHUP. `drainGraceMs`: 0 where the settings have none.
+  // The maximum delay of the first poll after SIGHUP. `drainGraceMs` is 0 if the settings contain none.
   static constexpr double maxReloadDelayMs(double drainGraceMs) {
     return kNotifiedAfterReloadMs - kPollMs + std::clamp(drainGraceMs, 0.0, kPollMs) / 2;
   }
--- a/tests/discovery/discovery_client_fixture.h
+++ b/tests/discovery/discovery_client_fixture.h
@@ -1,9 +1,9 @@
-// A DiscoveryClient beside a fake directory that can fall silent, break connections or fail: real sockets on
-// loopback, a manual clock.
+// A DiscoveryClient and a fake directory that can stop answering, close connections or reject polls. Uses
+// real sockets on the loopback interface and a manual clock.
 //
 //   DiscoveryClientFixture fixture(options, &known, true);   // the initial list is fresh
-//   fixture.runLoop(20);                                     // without letting time pass
-//   fixture.advance(1000);                                   // in ms
+//   fixture.runLoop(20);                                     // 20 iterations; the clock does not advance
+//   fixture.advance(1000);                                   // milliseconds
 #pragma once
 
 #include <functional>
@@ -53,15 +53,15 @@
     return o;
   }
 
-  // In steps of 50 ms.
+  // Advances the clock in steps of 50 ms, and runs the loop after each.
   void advance(double ms) {
     for (const double until = clock.nowMs + ms; clock.nowMs < until;) {
       clock.nowMs += 50;
       runLoop(12);
     }
   }
-  // From now on nothing more comes on the connections that there are.
-  void fallSilent() { silent.insert(connections.begin(), connections.end()); }
+  // From now on the directory sends nothing on the existing connections.
+  void silenceConnections() { silentConnections.insert(connections.begin(), connections.end()); }
   std::string answer() const {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
   }
@@ -71,11 +71,12 @@
     connections.insert(from);
     polledMs.push_back(clock.nowMs);
     lastPollFrom = from;
-    if (mute) silent.insert(from);
-    if (silent.count(from)) return;
+    if (ignoresPolls) silentConnections.insert(from);
+    if (silentConnections.count(from)) return;
     if (fault) return fault(from);
-    if (breaks > 0 && breaks--) return hub.close(from);
-    if (fails > 0 && fails--) return hub.send(from, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n");
+    if (breaksLeft > 0 && breaksLeft--) return hub.close(from);
+    if (rejectionsLeft > 0 && rejectionsLeft--)
+      return hub.send(from, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n");
     if (holdsLongPolls && call.start.find("wait_ms=0 ") == call.start.npos) {
       waiting.insert(from);
       return;
@@ -85,16 +86,16 @@
 
   lab::Hub hub;
   int polls = 0, events = 0;
-  bool mute = false;            // what is polls now is never answered
-  bool holdsLongPolls = false;  // long polls get no answer
+  bool ignoresPolls = false;    // whether new polls are never answered
+  bool holdsLongPolls = false;  // whether long polls are held without an answer
   std::vector<std::string> calls;
-  std::vector<double> polledMs;             // when they came
-  lab::Hub::Id lastPollFrom = 0;            // the last one's connection
-  std::function<void(lab::Hub::Id)> fault;  // what a call gets instead of an answer, where there is one
+  std::vector<double> polledMs;             // when each poll was received
+  lab::Hub::Id lastPollFrom = 0;            // the connection of the last poll
+  std::function<void(lab::Hub::Id)> fault;  // if set, handles polls instead of answering them
   std::set<lab::Hub::Id> waiting;           // connections with an open long poll
   std::string list = "{\"rev\":1,\"all\":true,\"targets\":[" + entry(1) + "]}";
-  std::set<lab::Hub::Id> connections, silent;
-  int breaks = 0, fails = 0;  // so many calls more get no answer, or a bad one
+  std::set<lab::Hub::Id> connections, silentConnections;
+  int breaksLeft = 0, rejectionsLeft = 0;  // how many of the next polls are cut off or rejected
   std::string directory =
       hub.listen({[this](lab::Hub::Id from, const lab::Message& call) { onCall(from, call); }, {}, {}});
   Address address = *parseAddress(directory);
--- a/tests/discovery/discovery_client_race_test.cpp
+++ b/tests/discovery/discovery_client_race_test.cpp
@@ -1,6 +1,6 @@
-// What crosses a watch: it falls silent, tells what is long past, or breaks, just as the list changes twice.
-// Real sockets on loopback; the order is forced by the directory, which holds its answer until the test gives
-// it.
+// Two changes of the list while a long poll gets no answer, gets an outdated answer or loses its connection.
+// Uses real sockets on the loopback interface. The fake directory holds its answers until the test releases
+// them, which forces the order of events.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -25,7 +25,7 @@
   return entry;
 }
 
-// Knows u1 and u2 at rev 5, of which u1 drains since then, and has a long poll open.
+// A relay that knows u1 and u2 at revision 5, at which u1 started to drain, and has a long poll in flight.
 struct RacingChangesFixture : FleetRelayFixture {
   RacingChangesFixture() : FleetRelayFixture(kFleet, 7, false) {
     holdsLongPolls = false;
@@ -41,15 +41,15 @@
   bool isDraining(const char* uid) const {
     return endpointDirectory.endpoints().findByUid(uid)->info.state == EndpointState::kDraining;
   }
-  // The watch that is out is answered by that.
+  // Answers the long poll in flight with `text`.
   void answerLongPoll(std::string text) {
     const std::string before = std::exchange(list, std::move(text));
     hub.send(*waiting.begin(), answer());
     list = before;
     waiting.clear();
   }
-  // In so many ms; u1 never comes back meanwhile.
-  void expectBothKnown(double withinMs) {
+  // Checks that u2 becomes draining within `withinMs`, and that u1 is draining throughout.
+  void expectBothDrainsKnown(double withinMs) {
     const double untilMs = clock.nowMs + withinMs;
     while (clock.nowMs < untilMs && !isDraining("u2")) {
       clock.nowMs += 50;
@@ -61,8 +61,8 @@
     CHECK(isDraining("u2"));
     CHECK(endpointDirectory.endpoints().revision() == 6);
   }
-  // The second change: u2 drains too.
-  void changes() {
+  // Makes the second change: u2 drains too.
+  void announceChange() {
     holdsLongPolls = false;
     list = listOf(6, false, draining(2));
   }
@@ -72,49 +72,49 @@
 
 TEST_CASE("a long poll that falls silent between two changes is repeated from the first revision") {
   RacingChangesFixture relay;
-  relay.fallSilent();
-  relay.changes();
+  relay.silenceConnections();
+  relay.announceChange();
   const std::size_t before = relay.calls.size();
-  relay.expectBothKnown(kWaitMs + kWaitNotifiedMs + kFleet.graceMs);
+  relay.expectBothDrainsKnown(kWaitMs + kWaitNotifiedMs + kFleet.graceMs);
   CHECK(relay.calls[before] == "GET /discovery/hosts?after=5&wait_ms=10000 HTTP/1.1");
 }
 
 TEST_CASE("a long poll that breaks between two changes is repeated within the grace") {
-  for (const bool first : {false, true}) {
+  for (const bool breaksTwice : {false, true}) {
     RacingChangesFixture relay;
-    if (first) {  // of its connection
-      // The reused connection breaks, and then the one that replaces it.
+    if (breaksTwice) {
+      // The first connection breaks, and then the one that replaces it.
       relay.hub.close(*relay.waiting.begin(), true);
       relay.waiting.clear();
       for (int i = 0; i < 40 && relay.waiting.empty(); ++i) relay.advance(50);
       REQUIRE(relay.waiting.size() == 1);
     }
-    relay.changes();
+    relay.announceChange();
     relay.hub.close(*relay.waiting.begin(), true);
-    relay.expectBothKnown(kFleet.graceMs);
+    relay.expectBothDrainsKnown(kFleet.graceMs);
   }
 }
 
 TEST_CASE("a delta of an earlier revision reverts nothing, and the complete list is polled") {
   RacingChangesFixture relay;
-  relay.changes();
+  relay.announceChange();
   relay.list = listOf(6, true, draining(1) + "," + draining(2));
   relay.answerLongPoll(listOf(4, false, DiscoveryClientFixture::entry(1)));
   const std::size_t before = relay.calls.size();
-  relay.expectBothKnown(kFleet.graceMs);
+  relay.expectBothDrainsKnown(kFleet.graceMs);
   CHECK(relay.calls[before] == "GET /discovery/hosts HTTP/1.1");
 }
 
 TEST_CASE("one complete list of an earlier revision reverts nothing; a second one shows a rollback") {
   RacingChangesFixture relay;
-  relay.changes();
+  relay.announceChange();
   relay.list = listOf(6, true, draining(1) + "," + draining(2));
   relay.answerLongPoll(
       listOf(4, true, DiscoveryClientFixture::entry(1) + "," + DiscoveryClientFixture::entry(2)));
-  relay.expectBothKnown(kFleet.graceMs);
+  relay.expectBothDrainsKnown(kFleet.graceMs);
 
   RacingChangesFixture back;
-  back.changes();
+  back.announceChange();
   back.list = listOf(3, true, DiscoveryClientFixture::entry(1) + "," + draining(2));
   back.answerLongPoll(back.list);
   back.advance(kFleet.graceMs);
@@ -123,17 +123,17 @@
   CHECK(back.isDraining("u2"));
 }
 
-// Guards against a list that counts as confirmed, and a poll that counts as answered, by a second copy of an
-// earlier answer on the same connection.
+// Guards against treating a second copy of an earlier answer on the same connection as the answer of the next
+// poll, which would confirm the list.
 TEST_CASE("a second copy of discovery's answer is not taken for the answer of the next poll") {
   DiscoveryClientFixture relay;
   relay.runLoop(20);
-  const lab::Hub::Id first = relay.lastPollFrom;
+  const lab::Hub::Id firstConnection = relay.lastPollFrom;
   relay.holdsLongPolls = true;
   relay.advance(200);
-  REQUIRE(relay.waiting.size() == 1);  // the long poll behind the complete list
+  REQUIRE(relay.waiting.size() == 1);  // the long poll after the complete list
   const int polls = relay.polls;
-  relay.hub.send(first, relay.answer());
+  relay.hub.send(firstConnection, relay.answer());
   relay.advance(500);
   CHECK(relay.polls == polls);
 }
--- a/tests/discovery/endpoint_cache_corruption_test.cpp
+++ b/tests/discovery/endpoint_cache_corruption_test.cpp
@@ -1,4 +1,4 @@
-// Reading endpoint caches with missing records, flipped bits and cut ends.
+// Reading cache files with a missing record, flipped bits or a truncated end.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -13,16 +13,17 @@
   HandClocks clock;
   Disk disk = diskWith(threeEndpoints(), clock);
   std::string& bytes = disk.files.at("/s/members");
-  // The one record of endpoints: behind the header comes the beginning, then it, then the commit.
+  // The header is followed by three records: the begin record, the endpoints and the commit.
   SegmentScanner scanner(bytes, 77, 0, SegmentScanner::kUnknownEnd);
   scanner.next();
   const Piece endpoints = scanner.next();
   REQUIRE(endpoints.payload.front() == 'P');
   bytes.erase(endpoints.offset, endpoints.bytes);
   lab::FaultyFiles files(disk);
-  const CachedList found = readCachedList(files, "/s", &kNames);
-  CHECK_FALSE(found.usable);
-  CHECK(has(found.fault ? describe(*found.fault) : "", "a wrong count"));
+  const CachedList cached = readCachedList(files, "/s", &kNames);
+  CHECK_FALSE(cached.usable);
+  CHECK(
+      has(cached.fault ? describe(*cached.fault) : "", "number of endpoints differs from the committed one"));
 }
 
 TEST_CASE("a cached list with any bit flipped is not accepted as complete") {
@@ -40,24 +41,24 @@
   lab::FaultyFiles files(disk);
   const std::string announced = textOf(readCachedList(files, "/s", &kNames).list);
   CHECK(has(announced, "b@127.0.0.1:3002/7-drains"));
-  std::size_t refused = 0, cut = 0;
+  std::size_t rejected = 0, cut = 0;
   for (std::size_t bit = 0; bit < good.size() * 8; bit += 3) {
     std::string& bytes = disk.files["/s/members"];
     bytes = good;
     bytes[bit / 8] = static_cast<char>(bytes[bit / 8] ^ (1 << bit % 8));
-    const CachedList found = readCachedList(files, "/s", &kNames);
+    const CachedList cached = readCachedList(files, "/s", &kNames);
     CAPTURE(bit);
-    refused += !found.usable;
-    cut += found.usable && !found.complete;
-    if (!found.usable) REQUIRE(found.fault.has_value());
-    // One of the header's two copies is enough.
-    if (found.usable && found.complete) REQUIRE(textOf(found.list) == announced);
+    rejected += !cached.usable;
+    cut += cached.usable && !cached.complete;
+    if (!cached.usable) REQUIRE(cached.fault.has_value());
+    // The header has two copies, so a bit flipped in one of them is harmless.
+    if (cached.usable && cached.complete) REQUIRE(textOf(cached.list) == announced);
   }
-  CHECK(refused > good.size());
-  // And one that is cut off anywhere is no more than an earlier one, and says so.
+  CHECK(rejected > good.size());
+  // A file truncated at any byte is unusable, incomplete, or equal to the file at an earlier commit.
   for (std::size_t size = 0; size < good.size(); ++size) {
     disk.files["/s/members"] = good.substr(0, size);
-    const CachedList found = readCachedList(files, "/s", &kNames);
-    if (found.usable && found.complete) CHECK(textOf(found.list) == textOf(threeEndpoints()));
+    const CachedList cached = readCachedList(files, "/s", &kNames);
+    if (cached.usable && cached.complete) CHECK(textOf(cached.list) == textOf(threeEndpoints()));
   }
 }
--- a/tests/discovery/endpoint_cache_crash_test.cpp
+++ b/tests/discovery/endpoint_cache_crash_test.cpp
@@ -12,12 +12,12 @@
 using lab::Disk;
 
 TEST_CASE("a crash at any file operation leaves a cached list that was announced") {
-  // A day of changes; what the table was at each commit, by what the file then says.
-  const auto day = [](RelayFixture& process, std::vector<std::string>& states) {
+  // Applies a sequence of updates, and records the content of the table at each commit.
+  const auto applyUpdates = [](RelayFixture& process, std::vector<std::string>& states) {
     process.begin();
     states.push_back("");
     std::uint64_t commits = 0;
-    const auto note = [&] {
+    const auto recordState = [&] {
       if (process.directory.cache().statistics().commits == commits) return;
       commits = process.directory.cache().statistics().commits;
       states.push_back(textOf(process.directory.endpoints().all()));
@@ -26,7 +26,7 @@
     for (int i = 0; i < 80; ++i) many.push_back(endpoint("e" + std::to_string(i), i % 3, 3000 + i));
     process.onList(listOf(1, many));
     process.finishDue();
-    note();
+    recordState();
     for (int i = 0; i < 60; ++i) {
       const std::string uid = "e" + std::to_string(i * 7 % 80);
       const EndpointState state = i % 3 == 0   ? EndpointState::kDraining
@@ -34,12 +34,12 @@
                                                : EndpointState::kRunning;
       process.onList(listOf(2 + i, {endpoint(uid, i % 3, 4000 + i, state)}, false));
       process.finishDue();
-      note();
+      recordState();
       if (i == 30) {
         many.resize(50);
         process.onList(listOf(33, many));
         process.finishDue();
-        note();
+        recordState();
       }
     }
   };
@@ -49,10 +49,10 @@
   Disk completeDisk;
   EndpointDirectory::Options options;
   options.cache.tuning.minGrowthBytes = 2000;
-  options.cache.tuning.endpointsPerSlice = 8;  // so that changes, too, take several slices
+  options.cache.tuning.endpointsPerSlice = 8;  // small, so that changes take several slices too
   {
     RelayFixture process(completeDisk, clock, options);
-    day(process, states);
+    applyUpdates(process, states);
     operations = process.files.operations();
     CHECK(process.directory.cache().statistics().rewrites >= 2);
     CHECK(process.share.used == completeDisk.used());
@@ -60,23 +60,23 @@
   const std::set<std::string> announced(states.begin(), states.end());
   REQUIRE(operations > 60);
   for (std::uint64_t n = 1; n <= operations; ++n) {
-    for (const std::size_t torn : {std::size_t{0}, std::size_t{5}, std::size_t{150}}) {
+    for (const std::size_t tornBytes : {std::size_t{0}, std::size_t{5}, std::size_t{150}}) {
       Disk disk;
-      HandClocks again;
+      HandClocks laterClock;
       {
-        RelayFixture process(disk, again, options);
-        process.files.crashAt(n, torn);
+        RelayFixture process(disk, laterClock, options);
+        process.files.crashAt(n, tornBytes);
         std::vector<std::string> ignored;
-        day(process, ignored);
+        applyUpdates(process, ignored);
       }
       lab::FaultyFiles files(disk);
-      const CachedList found = readCachedList(files, "/s", &kNames);
+      const CachedList cached = readCachedList(files, "/s", &kNames);
       CAPTURE(n);
-      CAPTURE(torn);
-      REQUIRE((found.usable || !found.fault));  // never damaged by the process's own end
-      REQUIRE(announced.count(found.usable ? textOf(found.list) : ""));
-      // The next process goes on from there, and gives back what was left behind.
-      RelayFixture next(disk, again, options);
+      CAPTURE(tornBytes);
+      REQUIRE((cached.usable || !cached.fault));  // a crash never corrupts the file
+      REQUIRE(announced.count(cached.usable ? textOf(cached.list) : ""));
+      // The next process continues with the file, and frees the space of leftover files.
+      RelayFixture next(disk, laterClock, options);
       next.begin();
       next.onList(threeEndpoints());
       next.finishDue();
@@ -89,8 +89,9 @@
 TEST_CASE("with group sync, power loss at any operation loses nothing durable") {
   EndpointDirectory::Options options;
   options.cache.tuning.minGrowthBytes = 300;
-  // What was announced, and how much of it the list is known to have on the disk.
-  const auto day = [](RelayFixture& process, std::vector<std::string>& announced) {
+  // Applies a sequence of updates, and records the table after each. Returns the number of updates that are
+  // durable.
+  const auto applyUpdates = [](RelayFixture& process, std::vector<std::string>& announced) {
     std::size_t durable = 0;
     process.begin();
     for (int i = 0; i < 24; ++i) {
@@ -114,7 +115,7 @@
     HandClocks clock;
     std::vector<std::string> announced;
     RelayFixture process(disk, clock, options, true);
-    CHECK(day(process, announced) == 24);
+    CHECK(applyUpdates(process, announced) == 24);
     CHECK(process.directory.cache().statistics().rewrites >= 3);
     operations = process.files.operations();
   }
@@ -128,14 +129,14 @@
     {
       RelayFixture process(disk, clock, options, true);
       process.files.crashAt(n, 30);
-      durable = day(process, announced);
+      durable = applyUpdates(process, announced);
     }
     disk.losePower();
     lab::FaultyFiles files(disk);
-    const CachedList found = readCachedList(files, "/s", &kNames);
-    REQUIRE((found.usable || durable == 0));
-    const auto at =
-        found.usable ? std::find(announced.begin(), announced.end(), textOf(found.list)) : announced.begin();
+    const CachedList cached = readCachedList(files, "/s", &kNames);
+    REQUIRE((cached.usable || durable == 0));
+    const auto at = cached.usable ? std::find(announced.begin(), announced.end(), textOf(cached.list))
+                                  : announced.begin();
     REQUIRE(at != announced.end());
     REQUIRE((durable == 0 || static_cast<std::size_t>(at - announced.begin()) + 1 >= durable));
   }
--- a/tests/discovery/endpoint_cache_slices_test.cpp
+++ b/tests/discovery/endpoint_cache_slices_test.cpp
@@ -1,4 +1,5 @@
-// The endpoint cache's bounds: bytes per slice, disk share, file size, and recovery from write faults.
+// The bounds of the endpoint cache: bytes per slice, disk space and file size; also its recovery from write
+// faults.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -24,25 +25,25 @@
     RelayFixture process(disk, clock);
     process.begin();
     process.onList(listOf(1, many));
-    std::size_t most = 0;
+    std::size_t maxSliceBytes = 0;
     for (std::size_t before = 0; process.directory.dueMs() <= clock.nowMs + 100; clock.nowMs += 2) {
       process.directory.tick();
       const std::size_t written = process.directory.cache().statistics().writtenBytes;
-      most = std::max(most, written - before);
+      maxSliceBytes = std::max(maxSliceBytes, written - before);
       before = written;
-      // Changes meanwhile, before and behind the place that the writing has come to.
+      // Changes during the rewrite, one before and one after the current position.
       if (clock.nowMs == 4)
         process.onList(listOf(2,
                               {endpoint("s-100000", 1, 2000, EndpointState::kDraining),
                                endpoint("s-102999", 1, 4999, EndpointState::kRemoved)},
                               false));
     }
-    CHECK(most < 256 * 120);
+    CHECK(maxSliceBytes < 256 * 120);
     CHECK(process.directory.cache().statistics().slices >= 3000 / 256);
     lab::FaultyFiles files(disk);
-    const CachedList found = readCachedList(files, "/s", &kNames);
-    CHECK(textOf(found.list) == textOf(process.directory.endpoints().all()));
-    CHECK(found.list.revision == 2);
+    const CachedList cached = readCachedList(files, "/s", &kNames);
+    CHECK(textOf(cached.list) == textOf(process.directory.endpoints().all()));
+    CHECK(cached.list.revision == 2);
     CHECK(disk.files.at("/s/members").size() < 3000 * 110);
   }
   SUBCASE("too long for its share: rejected, logged once, nothing left behind") {
@@ -56,9 +57,9 @@
     CHECK(disk.files.empty());
     CHECK(process.share.used == 0);
     const std::string log = process.log.str();
-    const std::size_t first = log.find("cannot reserve space for the list of endpoints");
+    const std::size_t first = log.find("cannot reserve space for the cached endpoint list");
     CHECK(first != std::string::npos);
-    CHECK(log.find("cannot find room", first + 1) == std::string::npos);
+    CHECK(log.find("cannot reserve space for the cached endpoint list", first + 1) == std::string::npos);
   }
   SUBCASE("a fault at each operation") {
     for (std::uint64_t n = 1; n <= 12; ++n) {
@@ -97,17 +98,17 @@
     if (!journal.recordAccepted(*request)) break;
     accepted.push_back(std::move(request));
   }
-  // What is reserved for those accepted is not given away; what is free beyond it is.
-  std::size_t given = 0;
-  while (journal.reserve(kDiskBlock)) given += kDiskBlock;
-  CHECK(given > 0);
+  // The space reserved for accepted requests cannot be reserved for the cache; the remaining space can.
+  std::size_t reservedBytes = 0;
+  while (journal.reserve(kDiskBlock)) reservedBytes += kDiskBlock;
+  CHECK(reservedBytes > 0);
   for (auto& request : accepted) {
     REQUIRE(journal.recordAttempt(*request, {"E1", 0, 1, 0}));
     REQUIRE(journal.recordNotExecuted(*request));
     REQUIRE(journal.recordFinalStatus(*request, FinalStatus::kReturned, 5));
     REQUIRE(journal.recordCompleted(*request));
   }
-  journal.release(given);
+  journal.release(reservedBytes);
   CHECK(journal.usage().used == disk.used());
 }
 
@@ -138,7 +139,7 @@
   }
   process.finishDue();
   const EndpointCache::Statistics& statistics = process.directory.cache().statistics();
-  CHECK(statistics.commits < 30);  // a second of changes, a commit each 100 ms
+  CHECK(statistics.commits < 30);  // one second of changes, with a commit every 100 ms
   CHECK(disk.files.at("/s/members").size() < 40000);
   lab::FaultyFiles files(disk);
   CHECK(textOf(readCachedList(files, "/s", &kNames).list) == textOf(process.directory.endpoints().all()));
--- a/tests/discovery/endpoint_cache_sync_test.cpp
+++ b/tests/discovery/endpoint_cache_sync_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint cache with a syncer whose jobs fail, hang or end late.
+// The endpoint cache with a syncer whose jobs fail, hang or complete late.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -16,8 +16,8 @@
   options.cache.tuning.minGrowthBytes = 300;
   options.cache.tuning.maxPendingChanges = 50;
   RelayFixture process(disk, clock, options, true);
-  const auto keptText = [&] { return textOf(readCachedList(process.files, "/s", &kNames).list); };
-  const auto setText = [&] { return textOf(process.directory.endpoints().all()); };
+  const auto cachedText = [&] { return textOf(readCachedList(process.files, "/s", &kNames).list); };
+  const auto tableText = [&] { return textOf(process.directory.endpoints().all()); };
   const auto allSynced = [&] {
     for (int round = 0; round < 4; ++round) {
       process.finishDue();
@@ -31,52 +31,52 @@
   process.begin();
   process.onList(threeEndpoints());
   process.finishDue();
-  CHECK(disk.files.count("/s/members") == 0);  // written, and not on the disk yet
+  CHECK(disk.files.count("/s/members") == 0);  // written, but not durable yet
   REQUIRE(process.syncer.jobs.size() == 1);
   drain(41, "b");
 
   SUBCASE("changes during the sync of a rewritten list are appended to it") {
     allSynced();
     disk.losePower();
-    CHECK(keptText() == setText());
+    CHECK(cachedText() == tableText());
   }
   SUBCASE("a sync that fails has the list written anew") {
     process.files.failAt(process.files.operations() + 1, 1, EIO);
     process.finishSyncs();
-    CHECK(has(process.log.str(), "cannot sync the list of endpoints"));
+    CHECK(has(process.log.str(), "cannot sync the cached endpoint list"));
     CHECK(disk.files.empty());
     process.advance(1500);
     allSynced();
     disk.losePower();
-    CHECK(keptText() == setText());
+    CHECK(cachedText() == tableText());
   }
   SUBCASE(
       "a sync of the old file puts no new one in its place, and one of a file given up counts for nothing") {
     allSynced();
-    drain(42, "a");  // a sync of the old file is out
+    drain(42, "a");  // starts a sync of the old file
     for (int i = 0; i < 40; ++i)
       process.directory.onList(listOf(43 + i, {endpoint("f" + std::to_string(i))}, false), 0);
-    process.finishDue();  // appended: more than the list itself
-    drain(90, "c");       // so it is written anew
+    process.finishDue();  // the appended changes take more space than the list
+    drain(90, "c");       // starts a rewrite
     REQUIRE(disk.files.count("/s/members.new") == 1);
     process.finishSyncs();
     CHECK(disk.files.count("/s/members.new") == 1);
     allSynced();
     disk.losePower();
-    CHECK(keptText() == setText());
+    CHECK(cachedText() == tableText());
   }
   SUBCASE("while a sync hangs, so many changes wait at most, and its late end replaces nothing") {
     for (int i = 0; i < 60; ++i)
       process.directory.onList(listOf(42 + i, {endpoint("f" + std::to_string(i))}, false), 0);
-    CHECK(has(process.log.str(), "cannot sync the list of endpoints: Connection timed out"));
+    CHECK(has(process.log.str(), "cannot sync the cached endpoint list: Connection timed out"));
     process.advance(1500);
-    process.finishDue();  // written anew
+    process.finishDue();  // rewrites the list
     process.onList(listOf(102, {endpoint("a", 7, 3001, EndpointState::kRemoved)}, false));
     process.finishSyncs();
     CHECK(disk.files.count("/s/members") == 0);
     allSynced();
     disk.losePower();
-    CHECK(keptText() == setText());
+    CHECK(cachedText() == tableText());
   }
   CHECK(process.share.used == disk.used());
 }
--- a/tests/discovery/endpoint_directory_fixture.h
+++ b/tests/discovery/endpoint_directory_fixture.h
@@ -1,10 +1,10 @@
-// A relay's EndpointDirectory with the decisions behind it, over several processes: a disk that outlives
-// them, and manual clocks.
+// The EndpointDirectory of a relay with the Dispatcher that uses it. Several processes in succession can
+// share a disk. Clocks are manual.
 //
 //   lab::Disk disk; HandClocks clock;
 //   RelayFixture process(disk, clock);
 //   process.begin(); process.onList(list); process.finishDue();
-//   process.submit("m", 0);   // false: rejected for the list's age
+//   process.submit("m", 0);   // returns false if rejected because of the list's age
 #pragma once
 
 #include <algorithm>
@@ -46,7 +46,7 @@
   return {rev, all, std::move(endpoints)};
 }
 
-// A table's endpoints as one text.
+// The endpoints of a table as text, one per line.
 inline std::string textOf(const EndpointTable::Endpoints& endpoints) {
   std::string text;
   for (const auto& [uid, e] : endpoints)
@@ -61,19 +61,19 @@
   return textOf(set.all());
 }
 
-// One process: directory and decisions; records what is sent.
+// One process with its directory and dispatcher. Records the requests that are sent.
 class RelayFixture {
  public:
-  // `group`: the cache is synced, by `finishSyncs`.
+  // If `group` is set, the cache has a syncer, whose jobs are completed by `finishSyncs`.
   RelayFixture(lab::Disk& disk, HandClocks& clock, EndpointDirectory::Options options = {},
                bool group = false)
       : files(disk),
         syncer(files),
         clock_(clock),
         directory(parts(disk, group), filled(std::move(options))),
-        module_(lab::moduleSettings(5)) {}
+        dispatcher_(lab::moduleSettings(5)) {}
 
-  // The list to begin with goes to the module, as at a start.
+  // Loads the initial list, and passes it to the dispatcher, as a process does at its start.
   void begin(const EndpointList& known = {}, double knownWallMs = 0) {
     events_.emplace_back(directory.begin(known, knownWallMs));
     batch();
@@ -82,7 +82,8 @@
     if (auto event = directory.onList(list, fromDirectory)) events_.emplace_back(std::move(*event));
     batch();
   }
-  // Lets time pass in batches of 5 ms, the cache's slices included.
+  // Advances the clock in steps of 5 ms. Each step processes a batch and, if one is due, a slice of the
+  // cache.
   void advance(double ms) {
     for (const double until = clock_.nowMs + ms; clock_.nowMs < until;) {
       clock_.nowMs = std::min(until, clock_.nowMs + 5);
@@ -91,7 +92,7 @@
       batch();
     }
   }
-  // Until nothing is due within a minute.
+  // Advances the clock until nothing is due within 20 seconds.
   void finishDue() {
     while (directory.dueMs() < clock_.nowMs + 20e3) {
       clock_.nowMs = std::max(clock_.nowMs + 2, directory.dueMs());
@@ -99,15 +100,15 @@
     }
     batch();
   }
-  // Completes the submitted syncs, and what waits for them.
+  // Completes the submitted syncs.
   void finishSyncs() {
     syncer.work();
     directory.onSynced();
   }
-  // A client hands one in. false: refused for the list's age.
+  // Submits a request, as a client does. Returns false if it is rejected because of the list's age.
   bool submit(const std::string& id, int cls, std::int64_t destination = 7) {
-    if (const auto refusal = directory.rejects(cls)) {
-      lastRetryAfterMs = refusal;
+    if (const auto retryAfterMs = directory.rejects(cls)) {
+      lastRetryAfterMs = retryAfterMs;
       return false;
     }
     RequestEvent event;
@@ -120,15 +121,16 @@
     batch();
     return true;
   }
-  // What comes back of the call that is out.
+  // Ends the call in flight of a request with `outcome`.
   void outcome(const std::string& id, Outcome outcome) {
-    const auto out = out_.extract(id);
+    const auto out = inFlight_.extract(id);
     events_.emplace_back(OutcomeEvent{id, attempts_[id] - 1, out.mapped(), outcome, false, 0, {}});
     batch();
   }
+  // Processes a batch with the collected events, and records its sends.
   void batch() {
     const std::vector<Event> events = std::exchange(events_, {});
-    for (const Action& action : module_.onBatch(clock_.nowMs, events)) {
+    for (const Action& action : dispatcher_.onBatch(clock_.nowMs, events)) {
       if (const auto* send = std::get_if<SendAction>(&action)) {
         const EndpointRecord* e = directory.endpoints().find(send->endpoint);
         ++attempts_[send->id];
@@ -136,9 +138,9 @@
             e->info.destination != destinationOf_.at(send->id))
           forbiddenSends.push_back(send->id + " to " + send->endpoint);
         sent.push_back({send->id, std::string(uidOfEndpoint(send->endpoint)), e ? e->address.text : ""});
-        out_[send->id] = send->endpoint;
-      } else if (const auto* refuse = std::get_if<RejectAction>(&action)) {
-        finished.insert(refuse->id);
+        inFlight_[send->id] = send->endpoint;
+      } else if (const auto* reject = std::get_if<RejectAction>(&action)) {
+        finished.insert(reject->id);
       } else if (const auto* failed = std::get_if<FailAction>(&action)) {
         finished.insert(failed->id);
       }
@@ -173,14 +175,14 @@
  public:
   EndpointDirectory directory;
   std::vector<Sent> sent;
-  std::vector<std::string> forbiddenSends;  // sends that the list did not allow
+  std::vector<std::string> forbiddenSends;  // sends to endpoints that the list does not allow
   std::set<std::string> finished;
   std::optional<double> lastRetryAfterMs;
 
  private:
-  Dispatcher module_;
+  Dispatcher dispatcher_;
   std::vector<Event> events_;
-  std::map<std::string, std::string> out_;  // target of the call that is out
+  std::map<std::string, std::string> inFlight_;  // the endpoint of the call in flight, by request id
   std::map<std::string, std::int64_t> destinationOf_;
   std::map<std::string, int> attempts_;
 };
@@ -194,7 +196,7 @@
   return listOf(40, {endpoint("a", 7, 3001), endpoint("b", 7, 3002), endpoint("c", 8, 3003)});
 }
 
-// The state folder after a process that had received the list.
+// The state folder after a process that has received the list.
 inline lab::Disk diskWith(const EndpointList& list, HandClocks& clock) {
   lab::Disk disk;
   RelayFixture process(disk, clock);
--- a/tests/discovery/endpoint_directory_start_test.cpp
+++ b/tests/discovery/endpoint_directory_start_test.cpp
@@ -1,4 +1,5 @@
-// Starts with lists of each age, cut off, corrupt or absent: classes accepted and where calls go.
+// Starts with lists of each age, also truncated, corrupt or missing ones: which classes are accepted, and to
+// which endpoints calls are sent.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -14,7 +15,7 @@
 struct Age {
   const char* name;
   double ms;
-  std::array<bool, 3> accepted;  // status-update, caption-order, billing-charge
+  std::array<bool, 3> accepted;  // for the classes status-update, caption-order and billing-charge
 };
 constexpr std::array<Age, 5> kAges = {{{"10 s", 10 * kSecond, {true, true, true}},
                                        {"1 h", kHour, {true, true, true}},
@@ -22,9 +23,10 @@
                                        {"1 week", 7 * kDay, {true, false, false}},
                                        {"2 months", 61 * kDay, {false, false, false}}}};
 
-// Hands in one of each class and sees that just the right ones are refused, with when to come back and why.
-void handInEach(RelayFixture& process, const std::array<bool, 3>& accepted, const std::string& suffix = "") {
-  std::uint64_t refused = process.counters.failFastStale;
+// Submits a request of each class, and checks that exactly the expected ones are rejected, with a retry time
+// and a log line.
+void submitEach(RelayFixture& process, const std::array<bool, 3>& accepted, const std::string& suffix = "") {
+  std::uint64_t rejected = process.counters.failFastStale;
   for (int cls = 0; cls < 3; ++cls) {
     const auto at = static_cast<std::size_t>(cls);
     CAPTURE(cls);
@@ -32,8 +34,8 @@
     CHECK(process.submit(kThreeClasses[at].name + suffix, cls) == accepted[at]);
     if (accepted[at]) continue;
     CHECK(*process.lastRetryAfterMs > 0);
-    CHECK(process.counters.failFastStale == ++refused);
-    CHECK(has(process.log.str(), "refused are:"));
+    CHECK(process.counters.failFastStale == ++rejected);
+    CHECK(has(process.log.str(), "rejected classes:"));
     CHECK(has(process.log.str(), kThreeClasses[at].name));
   }
 }
@@ -46,15 +48,16 @@
   {
     RelayFixture process(disk, clock);
     process.begin(threeEndpoints(), clock.wallMs() - 5 * kSecond);
-    process.advance(100);  // and ends, never having been answered
+    process.advance(100);  // the process ends without an answer of discovery
   }
   clock.nowMs += 10 * kSecond;
-  RelayFixture again(disk, clock);
-  const double future = clock.wallMs() + kHour;  // the configuration's own time tells nothing now
-  again.begin(threeEndpoints(), future);
-  CHECK(again.directory.freshness() == Freshness::kFresh);
-  CHECK(again.directory.age().ms >= 15 * kSecond);
-  // A later revision was announced after the cached list; the time of a list of unknown age is ignored.
+  RelayFixture restarted(disk, clock);
+  const double future =
+      clock.wallMs() + kHour;  // the time of the configuration is in the future, so its age is unknown
+  restarted.begin(threeEndpoints(), future);
+  CHECK(restarted.directory.freshness() == Freshness::kFresh);
+  CHECK(restarted.directory.age().ms >= 15 * kSecond);
+  // A later revision was announced after the cached list was, so it takes over the age of that list.
   RelayFixture later(disk, clock);
   EndpointList next = threeEndpoints();
   next.revision += 1;
@@ -81,7 +84,7 @@
         if (rebooted) clock.run = "another", clock.machine = -clock.nowMs;
         RelayFixture process(disk, clock);
         process.begin();
-        handInEach(process, age.accepted);
+        submitEach(process, age.accepted);
         process.advance(1000);
         CHECK(process.forbiddenSends.empty());
         CHECK(process.sent.size() >= (age.accepted[0] ? 1 : 0));
@@ -91,9 +94,9 @@
       list.endpoints[0].info.state = EndpointState::kDraining;
       Disk disk = diskWith(list, clock);
       clock.nowMs += age.ms;
-      EndpointDirectory::Options trusting;
-      trusting.freshness.rejectsByAge = false;
-      RelayFixture process(disk, clock, trusting);
+      EndpointDirectory::Options acceptsAll;
+      acceptsAll.freshness.rejectsByAge = false;
+      RelayFixture process(disk, clock, acceptsAll);
       process.begin();
       for (int i = 0; i < 40; ++i) {
         REQUIRE(process.submit("m" + std::to_string(i), i % 3));
@@ -108,13 +111,14 @@
       for (const double after : {0.0, 1000.0, 10000.0}) {
         Disk disk = diskWith(list, clock);
         clock.nowMs += age.ms;
-        EndpointDirectory::Options trusting;
-        trusting.freshness.rejectsByAge = false;
-        RelayFixture process(disk, clock, trusting);
+        EndpointDirectory::Options acceptsAll;
+        acceptsAll.freshness.rejectsByAge = false;
+        RelayFixture process(disk, clock, acceptsAll);
         process.begin();
         for (int i = 0; i < 20; ++i) process.submit("h" + std::to_string(i), i % 2);
         process.advance(after);
-        // a is gone, b's uid serves another destination, its address belongs to another uid, d is new.
+        // a was removed, b's uid now serves another destination, b's address belongs to another uid, d is
+        // new.
         process.onList(listOf(60, {endpoint("b", 9, 3009), endpoint("c", 8, 3003), endpoint("e", 9, 3002),
                                    endpoint("d", 7, 3004)}));
         const std::size_t before = process.sent.size();
@@ -136,7 +140,7 @@
       process.submit("m", 0);
       process.advance(15000);
       CHECK(process.sent.empty());
-      CHECK(process.finished.count("m") == 1);  // it has its end all the same
+      CHECK(process.finished.count("m") == 1);  // it has a final status nevertheless
     }
     SUBCASE("the list's end is cut off: no better than old") {
       Disk disk;
@@ -154,10 +158,10 @@
       RelayFixture process(disk, clock);
       process.begin();
       const bool expired = !age.accepted[0];
-      handInEach(process, {!expired, false, false});
+      submitEach(process, {!expired, false, false});
       CHECK(has(process.log.str(), "the cached list is incomplete"));
       process.onList(listOf(42, list.endpoints));
-      handInEach(process, {true, true, true}, "-again");
+      submitEach(process, {true, true, true}, "-again");
     }
     SUBCASE("a flipped bit: it begins with the configuration's list, by that one's age") {
       Disk disk = diskWith(list, clock);
@@ -167,7 +171,7 @@
       process.begin(listOf(12, {endpoint("k", 7, 3020)}), clock.wallMs() - age.ms);
       CHECK(has(process.log.str(), "the cached list is not used: damage at byte"));
       CHECK(process.directory.endpoints().findByUid("k"));
-      handInEach(process, age.accepted);
+      submitEach(process, age.accepted);
     }
     SUBCASE("a clock set back by a year: of unknown age, unless the machine has run since") {
       Disk disk = diskWith(list, clock);
@@ -176,13 +180,13 @@
       {
         RelayFixture process(disk, clock);
         process.begin();
-        handInEach(process, age.accepted);
+        submitEach(process, age.accepted);
       }
       clock.run = "another";
       RelayFixture process(disk, clock);
       process.begin();
       CHECK(has(process.log.str(), "of unknown age, old"));
-      handInEach(process, {true, false, false});
+      submitEach(process, {true, false, false});
     }
   }
 }
@@ -193,9 +197,9 @@
   RelayFixture process(disk, clock);
   process.begin();
   CHECK(process.directory.endpoints().empty());
-  handInEach(process, {true, false, false});
+  submitEach(process, {true, false, false});
   process.onList(threeEndpoints());
-  handInEach(process, {true, true, true}, "-then");
+  submitEach(process, {true, true, true}, "-then");
   process.advance(1000);
   CHECK(process.forbiddenSends.empty());
 }
@@ -206,11 +210,11 @@
   RelayFixture process(disk, clock);
   process.begin();
   process.onList(threeEndpoints());
-  handInEach(process, {true, true, true}, "0");
+  submitEach(process, {true, true, true}, "0");
   clock.nowMs += 3 * kHour;
-  handInEach(process, {true, true, false}, "1");
+  submitEach(process, {true, true, false}, "1");
   clock.nowMs += 4 * kDay;
-  handInEach(process, {true, false, false}, "2");
+  submitEach(process, {true, false, false}, "2");
   process.onList(listOf(40, {}, false));  // a long poll without a change confirms all of it
-  handInEach(process, {true, true, true}, "3");
+  submitEach(process, {true, true, true}, "3");
 }
--- a/tests/discovery/endpoint_directory_updates_test.cpp
+++ b/tests/discovery/endpoint_directory_updates_test.cpp
@@ -1,4 +1,4 @@
-// Answers of discovery that contradict what is known: reused uids, earlier revisions, other directories.
+// Answers of discovery that contradict the known list: reused uids, earlier revisions, other directories.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -27,7 +27,7 @@
     process.outcome("to" + std::to_string(round), Outcome::kSuccess);
     process.advance(20000);
   }
-  // The same uid twice in one list: the last word counts.
+  // If a list contains a uid twice, the last entry counts.
   process.onList(listOf(9, {endpoint("a", 7, 3001), endpoint("a", 8, 3002)}));
   process.submit("last", 0, 8);
   process.advance(500);
@@ -46,19 +46,20 @@
   CHECK(process.directory.needsCompleteList());
   CHECK(process.directory.lastUpdateRejected());
   CHECK(process.directory.endpoints().findByUid("b"));
-  // Another directory that lags behind is not believed, while this one's word is fresh.
+  // The older list of another directory is ignored while the known list is fresh.
   process.onList(listOf(30, {endpoint("z", 7, 3050)}), 1);
   CHECK_FALSE(process.directory.endpoints().findByUid("z"));
-  // The same directory, restored from a backup: the truth.
+  // The same directory was restored from a backup, and is authoritative.
   process.onList(listOf(30, {endpoint("z", 7, 3050)}), 0);
   CHECK(process.directory.endpoints().findByUid("z"));
   CHECK_FALSE(process.directory.needsCompleteList());
   CHECK(process.counters.listsRejected == 2);
-  // Later the other one is all there is.
+  // The older list of another directory is applied once the known list is not fresh any more.
   clock.nowMs += 3 * kHour;
   process.onList(listOf(20, {endpoint("y", 7, 3051)}), 1);
   CHECK(process.directory.endpoints().findByUid("y"));
-  // From another directory a change alone is nothing: their revs may count different things.
+  // A delta of another directory is not applied, because the revisions of different directories are not
+  // comparable.
   process.onList(listOf(35, {endpoint("x", 7, 3052)}, false), 0);
   CHECK_FALSE(process.directory.endpoints().findByUid("x"));
   CHECK(process.directory.needsCompleteList());
--- a/tests/discovery/fleet_relay_fixture.h
+++ b/tests/discovery/fleet_relay_fixture.h
@@ -1,7 +1,8 @@
-// One relay of a fleet: a DiscoveryClientFixture whose delays follow from the size of the fleet and its
-// settings.
+// One relay of a fleet: a DiscoveryClientFixture with the backoff for a fleet of a given size and drain grace
+// period.
 //
-//   forEach([](const FleetSize& fleet, std::uint64_t seed) { FleetRelayFixture relay(fleet, seed, true); ...
+//   forEachFleet([](const FleetSize& fleet, std::uint64_t seed) {
+//     FleetRelayFixture relay(fleet, seed, true);
 //   });
 #pragma once
 
@@ -14,11 +15,14 @@
 
 namespace myrtleloft {
 
-// The page's figures, written down once more: the program's own are what is tested.
-constexpr double kWaitMs = 10000, kSlackMs = 50;  // of a watch; of every limit, on sockets
-constexpr double kSilentNotifiedMs = 6000, kWaitNotifiedMs = 2000, kReloadNotifiedMs = 4000;
+// The constants of the protocol. They are repeated here, because the values in the program are what is
+// tested.
+constexpr double kWaitMs = 10000;  // how long a long poll waits
+constexpr double kSlackMs = 50;    // tolerance of each bound, as the clock advances in steps
+constexpr double kNotifiedMs = 6000, kWaitNotifiedMs = 2000, kReloadNotifiedMs = 4000;
 
-inline std::string drains(int rev) {
+// A complete list in which the endpoint u1 is draining.
+inline std::string drainingList(int rev) {
   std::string entry = DiscoveryClientFixture::entry(1);
   lab::replaceAll(entry, "active", "leaving");
   return "{\"rev\":" + std::to_string(rev) + ",\"all\":true,\"targets\":[" + entry + "]}";
@@ -31,11 +35,12 @@
 constexpr FleetSize kFleets[] = {{1, 2000}, {30, 2000}, {300, 2000}, {300, 500}};
 constexpr std::uint64_t kSeeds = 6;
 
-// A relay of that fleet, which knows the one endpoint as active; `trusted`: by a list just confirmed.
+// A relay of the fleet that knows the endpoint u1 as active. If `fresh` is set, its list has just been
+// confirmed.
 struct FleetRelayFixture : DiscoveryClientFixture {
-  FleetRelayFixture(const FleetSize& fleet, std::uint64_t seed, bool trusted,
+  FleetRelayFixture(const FleetSize& fleet, std::uint64_t seed, bool fresh,
                     const EndpointList& known = oneEndpoint())
-      : DiscoveryClientFixture(options(fleet, seed), &known, trusted) {
+      : DiscoveryClientFixture(options(fleet, seed), &known, fresh) {
     holdsLongPolls = true;
     list = R"({"rev":1,"all":false,"targets":[]})";
   }
@@ -48,17 +53,17 @@
   bool knowsDraining() const {
     return endpointDirectory.endpoints().findByUid("u1")->info.state == EndpointState::kDraining;
   }
-  // From now on each call that is heard brings the drain.
+  // From now on the directory answers each poll with a list in which u1 is draining.
   void announceDraining() {
     holdsLongPolls = false;
-    list = drains(2);
+    list = drainingList(2);
   }
-  // Until the drain is known; the time then.
+  // Advances the clock until the relay knows of the drain, but at most 20 s beyond `byMs`. Returns the time.
   double advanceUntilKnown(double byMs) {
     while (!knowsDraining() && clock.nowMs < byMs + 20000) advance(50);
     return clock.nowMs;
   }
-  // Until so many calls were made.
+  // Advances the clock until the directory has received `calls` polls.
   void advanceUntilPolls(int calls) {
     for (int i = 0; i < 1000 && polls < calls; ++i) advance(50);
     REQUIRE(polls == calls);
@@ -66,13 +71,13 @@
 };
 
 template <typename F>
-void forEach(F play) {
+void forEachFleet(F test) {
   for (const FleetSize& fleet : kFleets)
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       CAPTURE(fleet.relays);
       CAPTURE(fleet.graceMs);
       CAPTURE(seed);
-      play(fleet, seed);
+      test(fleet, seed);
     }
 }
 
--- a/tests/discovery/freshness_test.cpp
+++ b/tests/discovery/freshness_test.cpp
@@ -1,4 +1,4 @@
-// Age and freshness of the endpoint list: classes accepted, comparable clocks, choice of the initial list.
+// Age and freshness of the endpoint list: accepted classes, comparable clocks, choice of the initial list.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -12,28 +12,29 @@
     tuning.freshMs = *rc::gen::inRange(1, 1000);
     tuning.ageingMs = tuning.freshMs + *rc::gen::inRange(0, 1000);
     tuning.staleMs = tuning.ageingMs + *rc::gen::inRange(0, 1000);
-    const FreshnessPolicy trust(tuning);
+    const FreshnessPolicy policy(tuning);
     const double younger = *rc::gen::inRange(0, 4000), older = younger + *rc::gen::inRange(0, 4000);
-    const Freshness a = trust.freshnessOf({true, younger}), b = trust.freshnessOf({true, older});
+    const Freshness a = policy.freshnessOf({true, younger}), b = policy.freshnessOf({true, older});
     RC_ASSERT(a <= b);
     for (const EndpointDirectory::Class& c : kThreeClasses)
-      if (trust.accepts(b, c.name, c.idempotency)) RC_ASSERT(trust.accepts(a, c.name, c.idempotency));
-    if (trust.accepts(b, "x", Idempotency::kNonIdempotent))
-      RC_ASSERT(trust.accepts(b, "x", Idempotency::kIdempotentWithKey));
-    if (trust.accepts(b, "x", Idempotency::kIdempotentWithKey))
-      RC_ASSERT(trust.accepts(b, "x", Idempotency::kIdempotent));
-    RC_ASSERT(trust.retryAfterMs(a) <= trust.retryAfterMs(b));
-    RC_ASSERT((trust.retryAfterMs(b) > 0) == (b != Freshness::kFresh));
+      if (policy.accepts(b, c.name, c.idempotency)) RC_ASSERT(policy.accepts(a, c.name, c.idempotency));
+    if (policy.accepts(b, "x", Idempotency::kNonIdempotent))
+      RC_ASSERT(policy.accepts(b, "x", Idempotency::kIdempotentWithKey));
+    if (policy.accepts(b, "x", Idempotency::kIdempotentWithKey))
+      RC_ASSERT(policy.accepts(b, "x", Idempotency::kIdempotent));
+    RC_ASSERT(policy.retryAfterMs(a) <= policy.retryAfterMs(b));
+    RC_ASSERT((policy.retryAfterMs(b) > 0) == (b != Freshness::kFresh));
   }));
-  const FreshnessPolicy trust;
-  CHECK(trust.freshnessOf({false, 0}) == Freshness::kStale);
-  FreshnessTuning named;
-  named.classes = {{"billing-charge", Freshness::kExpired}};
-  CHECK(FreshnessPolicy(named).accepts(Freshness::kExpired, "billing-charge", Idempotency::kNonIdempotent));
+  const FreshnessPolicy policy;
+  CHECK(policy.freshnessOf({false, 0}) == Freshness::kStale);
+  FreshnessTuning overrides;
+  overrides.classes = {{"billing-charge", Freshness::kExpired}};
+  CHECK(
+      FreshnessPolicy(overrides).accepts(Freshness::kExpired, "billing-charge", Idempotency::kNonIdempotent));
   CHECK_FALSE(
-      FreshnessPolicy(named).accepts(Freshness::kAgeing, "other-charge", Idempotency::kNonIdempotent));
-  named.rejectsByAge = false;
-  CHECK(FreshnessPolicy(named).accepts(Freshness::kExpired, "other-charge", Idempotency::kNonIdempotent));
+      FreshnessPolicy(overrides).accepts(Freshness::kAgeing, "other-charge", Idempotency::kNonIdempotent));
+  overrides.rejectsByAge = false;
+  CHECK(FreshnessPolicy(overrides).accepts(Freshness::kExpired, "other-charge", Idempotency::kNonIdempotent));
 }
 
 TEST_CASE(
@@ -42,9 +43,10 @@
   CHECK(ageOf(then, {1e12 - kYear, 4000, "run"}).ms == 3000);
   CHECK(ageOf(then, {1e12 + kYear, 4000, "run"}).ms == 3000);
   CHECK(ageOf(then, {1e12 + kDay, 20, "another"}).ms == kDay);
-  CHECK(ageOf(then, {1e12 + kDay, 500, "run"}).ms == kDay);  // the same name, but it has begun anew
+  CHECK(ageOf(then, {1e12 + kDay, 500, "run"}).ms ==
+        kDay);  // the same boot id, but the machine's clock went back
   CHECK_FALSE(ageOf(then, {1e12 - kYear, 20, "another"}).known);
-  CHECK(ageOf(then, {1e12 - 500, 20, "another"}).known);  // a clock's own step
+  CHECK(ageOf(then, {1e12 - 500, 20, "another"}).known);  // within a normal correction of the clock
   CHECK_FALSE(ageOf({0, 0, ""}, {1e12, 0, ""}).known);
 }
 
@@ -60,10 +62,11 @@
   CHECK(chooseInitialSource(offer(9, dayAgo), offer(9, hourAgo), now) == InitialSource::kCached);
   CHECK(chooseInitialSource(offer(9, dayAgo), offer(10, hourAgo), now) == InitialSource::kConfigured);
   CHECK(chooseInitialSource(offer(10, dayAgo), offer(9, hourAgo), now) == InitialSource::kCached);
-  // A configuration written before the cached list was confirmed, with a later revision: a rollback.
+  // A configured list with a later revision that was written before the cached list was confirmed: the
+  // directory was rolled back.
   CHECK(chooseInitialSource(offer(9, hourAgo), offer(10, dayAgo), now) == InitialSource::kCached);
-  // No times to compare: the rev decides.
+  // The times are not comparable, so the revision decides.
   CHECK(chooseInitialSource(offer(9, future), offer(10, dayAgo), now) == InitialSource::kConfigured);
-  // Its end is lost: the later rev is the surer one.
+  // The cached list is truncated, so the later revision is chosen.
   CHECK(chooseInitialSource(offer(9, hourAgo, false), offer(10, dayAgo), now) == InitialSource::kConfigured);
 }
--- a/tests/discovery/list_reader_test.cpp
+++ b/tests/discovery/list_reader_test.cpp
@@ -1,4 +1,4 @@
-// Discovery's answer read in slices, compared with the same bytes read at once.
+// Discovery's answer read in slices, compared with the same bytes read at once by the JSON library.
 #include "discovery/list_reader.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Nothing for an error, whose text is then in `error`; of a list that is empty.
+// Returns std::nullopt for an error, and sets `error` to its text, which is empty for a valid list.
 std::optional<EndpointList> listOrError(ListResult result, std::string& error) {
   const auto* failure = std::get_if<ListError>(&result);
   error = failure ? describe(*failure) : "";
@@ -23,19 +23,20 @@
   return std::move(std::get<EndpointList>(result));
 }
 
-std::optional<EndpointList> inPieces(const std::string& body, std::size_t piece, std::string& error) {
+std::optional<EndpointList> readInSlices(const std::string& body, std::size_t sliceBytes,
+                                         std::string& error) {
   ListReader reader(body, kNames);
-  while (!reader.step(piece)) {
+  while (!reader.step(sliceBytes)) {
   }
   return listOrError(reader.take(), error);
 }
 
-std::optional<EndpointList> atOnce(const std::string& body, std::string& error) {
+std::optional<EndpointList> readAtOnce(const std::string& body, std::string& error) {
   const auto value = json::parse(body, error);
   return value ? listOrError(readList(*value, kNames), error) : std::nullopt;
 }
 
-// All that a list says, in its order.
+// The content of a list as text, in the order of its entries; "none" for an invalid list.
 std::string textOf(const std::optional<EndpointList>& list) {
   if (!list) return "none";
   std::string text = std::to_string(list->revision) + (list->complete ? " all" : " change");
@@ -46,44 +47,45 @@
   return text;
 }
 
-std::string entry(const std::string& uid, const std::string& more = "") {
+std::string entry(const std::string& uid, const std::string& extraMembers = "") {
   return R"({"uid":")" + uid +
-         R"(","endpoint":"10.0.0.1:80","az":"sur","model":"large","pod_group":7,"state":"active")" + more +
-         "}";
+         R"(","endpoint":"10.0.0.1:80","az":"sur","model":"large","pod_group":7,"state":"active")" +
+         extraMembers + "}";
 }
 
-const std::string kGood = "{ \"note\":{\"targets\":[1,{}]}, \"rev\":41,\"all\" : true,\"targets\" : [\n" +
-                          entry("a") + " ,\t" +
-                          entry("b\\\"]},{", R"(,"capacity_hint":2.5,"x":[[{}],"}]"])") +
-                          R"(,{"uid":"c","state":"left"}],"after":"\u00e9"})";
+const std::string kValidList =
+    "{ \"note\":{\"targets\":[1,{}]}, \"rev\":41,\"all\" : true,\"targets\" : [\n" + entry("a") + " ,\t" +
+    entry("b\\\"]},{", R"(,"capacity_hint":2.5,"x":[[{}],"}]"])") +
+    R"(,{"uid":"c","state":"left"}],"after":"\u00e9"})";
 
 }  // namespace
 
 TEST_CASE("a list read in slices of any size equals the list read at once") {
   std::string error;
-  const std::string expected = textOf(atOnce(kGood, error));
+  const std::string expected = textOf(readAtOnce(kValidList, error));
   REQUIRE(expected.find(" c@") != std::string::npos);
-  for (std::size_t piece = 1; piece <= kGood.size() + 1; ++piece)
-    CHECK(textOf(inPieces(kGood, piece, error)) == expected);
-  // The name as only the library reads it, an empty list, and one after which nothing is to be done.
+  for (std::size_t sliceBytes = 1; sliceBytes <= kValidList.size() + 1; ++sliceBytes)
+    CHECK(textOf(readInSlices(kValidList, sliceBytes, error)) == expected);
+  // The key "targets" written with escapes, an empty list, and a list whose entries come first.
   for (const std::string& body : {R"({"rev":1,"all":true,"t\u0061rgets":[)" + entry("a") + "]}",
                                   std::string(R"({"rev":1,"all":false,"targets":[ ]})"),
                                   R"({"targets":[)" + entry("a") + R"(],"all":true,"rev":9})"})
-    CHECK(textOf(inPieces(body, 7, error)) == textOf(atOnce(body, error)));
+    CHECK(textOf(readInSlices(body, 7, error)) == textOf(readAtOnce(body, error)));
 }
 
 TEST_CASE("an invalid list is rejected as when it is read at once, with the reason") {
   const auto fault = [](const std::string& body) {
     std::string error;
-    CHECK(textOf(inPieces(body, 5, error)) == "none");
+    CHECK(textOf(readInSlices(body, 5, error)) == "none");
     return error;
   };
   const std::string begin = R"({"rev":1,"all":true,"targets":[)";
   CHECK(fault(begin + entry("a") + "," + entry("") + "]}") == "targets[1].uid");
-  CHECK(fault(begin + entry("a") + entry("b") + "]}") == "targets[1]: neither a comma nor the end before it");
-  CHECK(fault(begin + entry("a") + ",]}") == "targets[1] is no object");
-  CHECK(fault(begin + "1]}") == "targets[0] is no object");
-  CHECK(fault(begin + entry("a")) == "targets[1]: the answer ends before it does");
+  CHECK(fault(begin + entry("a") + entry("b") + "]}") ==
+        "targets[1]: expected a comma or the end of the list before it");
+  CHECK(fault(begin + entry("a") + ",]}") == "targets[1]: not an object");
+  CHECK(fault(begin + "1]}") == "targets[0]: not an object");
+  CHECK(fault(begin + entry("a")) == "targets[1]: the answer is truncated");
   CHECK(fault(begin + entry("a") + "]").find("parse error") != std::string::npos);
   CHECK(fault(begin + entry("a") + "]} x").find("parse error") != std::string::npos);
   CHECK(fault(begin + entry("a", R"(,"uid":"z")") + "]}") == "targets[0]: the name 'uid' stands twice");
@@ -93,16 +95,16 @@
   CHECK(fault("") != "");
   const std::string longest(ListReader::kMaxEntryBytes, 'x');
   CHECK(fault(begin + entry("a") + "," + entry("b", ",\"y\":\"" + longest + "\"") + "]}") ==
-        "targets[1] is too long");
+        "targets[1]: too long");
 }
 
 TEST_CASE("of 40,000 mutated lists, exactly those are accepted that are when read at once") {
   std::mt19937_64 random(20261201);
-  const std::array<std::string, 12> pieces = {
+  const std::array<std::string, 12> fragments = {
       "\"", "\\", "{", "}", "[", "]", ",", ":", " ", "\\u0074", "\"targets\":[", "\xff"};
   std::size_t accepted = 0, rejected = 0;
   for (int i = 0; i < 40000; ++i) {
-    std::string body = kGood;
+    std::string body = kValidList;
     for (std::uint64_t changes = 1 + random() % 3; changes > 0; --changes) {
       const std::size_t at = random() % body.size();
       switch (random() % 4) {
@@ -113,21 +115,21 @@
           body.erase(at, 1 + random() % 4);
           break;
         case 2:
-          body.insert(at, pieces.at(random() % pieces.size()));
+          body.insert(at, fragments.at(random() % fragments.size()));
           break;
         default:
           body.insert(at, body.substr(random() % body.size(), random() % 60));
       }
       if (body.empty()) body = " ";
     }
-    std::string error, inOne;
-    const std::string got = textOf(inPieces(body, 1 + random() % 64, error)),
-                      wanted = textOf(atOnce(body, inOne));
-    ++(wanted == "none" ? rejected : accepted);
+    std::string error, errorAtOnce;
+    const std::string actual = textOf(readInSlices(body, 1 + random() % 64, error)),
+                      expected = textOf(readAtOnce(body, errorAtOnce));
+    ++(expected == "none" ? rejected : accepted);
     CAPTURE(i);
     CAPTURE(body);
-    REQUIRE(got == wanted);
-    REQUIRE(error.empty() == (got != "none"));
+    REQUIRE(actual == expected);
+    REQUIRE(error.empty() == (actual != "none"));
   }
   CHECK(accepted > 1000);
   CHECK(rejected > 20000);
--- a/tests/discovery/poll_interval_paths_test.cpp
+++ b/tests/discovery/poll_interval_paths_test.cpp
@@ -1,6 +1,6 @@
-// The paths by which the watch loses a call, one by one: the address moves, the connection never comes up,
-// one of several directories alone is there, no descriptor is free, the operator sets the pause. Real sockets
-// on loopback, a clock moved by hand.
+// The poll interval in special cases: the address of discovery changes, a connection is never established,
+// only one of several directories is reachable, no file descriptor is available, and the operator sets the
+// backoff. Uses real sockets on the loopback interface and a manual clock.
 #include <doctest/doctest.h>
 #include <netinet/in.h>
 #include <sys/resource.h>
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr double kCallMs = 1000;  // what a call that meets no fault may need
+constexpr double kFaultFreePollMs = 1000;  // the maximum duration of a poll without faults
 
 // Listens with a full backlog, so that the next SYN gets no answer.
 struct FullBacklog {
@@ -50,7 +50,7 @@
     FleetRelayFixture relay({kRelays, 500}, seed, true);
     relay.advanceUntilPolls(1);
     relay.client->onAddressChanged();
-    relay.advance(4000 + 500 - kCallMs / 2);
+    relay.advance(4000 + 500 - kFaultFreePollMs / 2);
     REQUIRE(relay.polls >= 2);
     CHECK(relay.calls[1] == "GET /discovery/hosts HTTP/1.1");
     calls.push_back(relay.polledMs[1]);
@@ -66,7 +66,7 @@
   relay.client->onAddressChanged();
   relay.runLoop(20);
   REQUIRE(relay.polls == 1);
-  relay.list = drains(2);
+  relay.list = drainingList(2);
   relay.hub.send(*relay.waiting.begin(), relay.answer());
   relay.runLoop(20);
   CHECK(relay.knowsDraining());
@@ -78,44 +78,45 @@
   const FullBacklog fullBacklog;
   FleetRelayFixture relay({1, 500}, 1, true);
   relay.advanceUntilPolls(1);
-  const Address there = relay.address;
+  const Address reachableAddress = relay.address;
   relay.address = fullBacklog.address;
   relay.hub.close(*relay.connections.begin(), true);
-  relay.advance(100);  // its next call is on its way to where nobody takes it on
-  relay.address = there;
+  relay.advance(100);  // the next poll tries to connect to an address that does not accept connections
+  relay.address = reachableAddress;
   relay.hub.acceptAgain(relay.directory);
   REQUIRE(relay.polls == 1);
-  const double notifiedMs = relay.clock.nowMs + kSilentNotifiedMs;
+  const double notifiedMs = relay.clock.nowMs + kNotifiedMs;
   relay.announceDraining();
-  CHECK(relay.advanceUntilKnown(notifiedMs) <= notifiedMs + 500 - kCallMs);
+  CHECK(relay.advanceUntilKnown(notifiedMs) <= notifiedMs + 500 - kFaultFreePollMs);
 }
 
 TEST_CASE("the only reachable one of several directories is polled in time") {
-  for (std::size_t dead = 1; dead <= 3; ++dead)
+  for (std::size_t unreachable = 1; unreachable <= 3; ++unreachable)
     for (const int relays : {1, 30, 300})
       for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        CAPTURE(dead);
+        CAPTURE(unreachable);
         CAPTURE(relays);
         CAPTURE(seed);
         lab::Hub others;
         DiscoveryClient::Options options;
-        options.backoff = backoffFor(relays, 100, 500, 1 + dead);
+        options.backoff = backoffFor(relays, 100, 500, 1 + unreachable);
         options.seed = seed;
-        for (std::size_t i = 0; i < dead; ++i)
+        for (std::size_t i = 0; i < unreachable; ++i)
           options.otherDirectories.push_back(
               *parseAddress(others.listen({[](lab::Hub::Id, const lab::Message&) {}, {}, {}})));
         const EndpointList known = oneEndpoint();
-        DiscoveryClientFixture site(options, &known);  // not trusted: it asks at once
-        site.mute = true;
-        site.advance(3000 + 700 * static_cast<double>(seed));
-        site.mute = false;
-        site.list = drains(2);
-        const double fromMs = site.clock.nowMs;
+        DiscoveryClientFixture fixture(options, &known);  // the list is not fresh: polls immediately
+        fixture.ignoresPolls = true;
+        fixture.advance(3000 + 700 * static_cast<double>(seed));
+        fixture.ignoresPolls = false;
+        fixture.list = drainingList(2);
+        const double fromMs = fixture.clock.nowMs;
         const auto knowsDraining = [&] {
-          return site.endpointDirectory.endpoints().findByUid("u1")->info.state == EndpointState::kDraining;
+          return fixture.endpointDirectory.endpoints().findByUid("u1")->info.state ==
+                 EndpointState::kDraining;
         };
-        while (!knowsDraining() && site.clock.nowMs < fromMs + 20000) site.advance(50);
-        CHECK(site.clock.nowMs <= fromMs + kSilentNotifiedMs + 500 - kCallMs);
+        while (!knowsDraining() && fixture.clock.nowMs < fromMs + 20000) fixture.advance(50);
+        CHECK(fixture.clock.nowMs <= fromMs + kNotifiedMs + 500 - kFaultFreePollMs);
       }
 }
 
@@ -125,8 +126,8 @@
   rlimit before{};
   REQUIRE(::getrlimit(RLIMIT_NOFILE, &before) == 0);
   relay.hub.close(*relay.connections.begin(), true);
-  const rlimit none{0, before.rlim_max};
-  REQUIRE(::setrlimit(RLIMIT_NOFILE, &none) == 0);
+  const rlimit noDescriptors{0, before.rlim_max};
+  REQUIRE(::setrlimit(RLIMIT_NOFILE, &noDescriptors) == 0);
   relay.advance(8000);
   REQUIRE(::setrlimit(RLIMIT_NOFILE, &before) == 0);
   REQUIRE(relay.polls == 1);
@@ -136,11 +137,11 @@
 }
 
 TEST_CASE("an operator's backoff is not bounded by the poll interval") {
-  Backoff backOff = backoffFor(300, 100, 500);
-  backOff.maxMs = 20000;
-  backOff.firstMaxMs = 0;
-  backOff.boundedByInterval = false;
-  DirectoryRotation rotation(1, backOff, [] { return 0.999; });
+  Backoff backoff = backoffFor(300, 100, 500);
+  backoff.maxMs = 20000;
+  backoff.firstMaxMs = 0;
+  backoff.boundedByInterval = false;
+  DirectoryRotation rotation(1, backoff, [] { return 0.999; });
   double longest = 0;
   for (int i = 0; i < 12; ++i) longest = std::max(longest, rotation.recordFailure(1000));
   CHECK(longest > 19000);
--- a/tests/discovery/poll_schedule_test.cpp
+++ b/tests/discovery/poll_schedule_test.cpp
@@ -1,5 +1,6 @@
-// The poll schedule: a change that discovery could not send counts as notified all the same, and the grace
-// runs from then. A watch that falls silent, breaks or stands still half-way is opened anew in time.
+// The poll schedule. The drain grace period starts when the relay counts as notified of a change, even if
+// discovery could not send the change. A long poll that gets no answer, breaks or stalls must therefore be
+// repeated in time. Also reads lists that are indented.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -13,15 +14,15 @@
 using namespace myrtleloft;
 
 TEST_CASE("a long poll that falls silent is repeated before what it missed must be known") {
-  forEach([](const FleetSize& fleet, std::uint64_t seed) {
-    for (const double afterMs : {0.0, 9000.0}) {  // since the call
+  forEachFleet([](const FleetSize& fleet, std::uint64_t seed) {
+    for (const double afterMs : {0.0, 9000.0}) {  // since the start of the poll
       FleetRelayFixture relay(fleet, seed, true);
       relay.advanceUntilPolls(1);
       const double calledMs = relay.clock.nowMs;
       relay.advance(afterMs);
       const double notifiedMs =
-          std::max(relay.clock.nowMs + kSilentNotifiedMs, calledMs + kWaitMs + kWaitNotifiedMs);
-      relay.fallSilent();
+          std::max(relay.clock.nowMs + kNotifiedMs, calledMs + kWaitMs + kWaitNotifiedMs);
+      relay.silenceConnections();
       relay.announceDraining();
       CHECK(relay.advanceUntilKnown(notifiedMs) <= notifiedMs + fleet.graceMs + kSlackMs);
     }
@@ -29,36 +30,36 @@
 }
 
 TEST_CASE("a poll that does not wait times out from its beginning, and is repeated in time") {
-  forEach([](const FleetSize& fleet, std::uint64_t seed) {
-    for (const bool missing : {false, true}) {  // a list that is not trusted; one of which a part is missing
+  forEachFleet([](const FleetSize& fleet, std::uint64_t seed) {
+    for (const bool missing : {false, true}) {  // false: the list is not fresh; true: an endpoint is missing
       EndpointList known = oneEndpoint();
       known.endpoints[0].missing = missing;
       FleetRelayFixture relay(fleet, seed, missing, known);
-      relay.mute = true;
+      relay.ignoresPolls = true;
       relay.advanceUntilPolls(1);
-      relay.mute = false;
+      relay.ignoresPolls = false;
       CHECK(relay.calls[0].find(missing ? "hosts " : "&wait_ms=0 ") != std::string::npos);
-      const double notifiedMs = relay.clock.nowMs + kSilentNotifiedMs;
+      const double notifiedMs = relay.clock.nowMs + kNotifiedMs;
       relay.announceDraining();
       CHECK(relay.advanceUntilKnown(notifiedMs) <= notifiedMs + fleet.graceMs + kSlackMs);
-      if (!missing)
-        CHECK(relay.calls[1] == relay.calls[0]);  // not one that waits while the list is not trusted
+      if (!missing) CHECK(relay.calls[1] == relay.calls[0]);  // not a long poll while the list is not fresh
     }
   });
 }
 
 TEST_CASE("a poll whose answer stalls half-way is repeated in time") {
-  forEach([](const FleetSize& fleet, std::uint64_t seed) {
-    for (const bool waits : {false, true}) {
-      FleetRelayFixture relay(fleet, seed, waits);
-      relay.mute = true;
+  forEachFleet([](const FleetSize& fleet, std::uint64_t seed) {
+    for (const bool isLongPoll : {false, true}) {
+      FleetRelayFixture relay(fleet, seed, isLongPoll);
+      relay.ignoresPolls = true;
       relay.advanceUntilPolls(1);
-      relay.mute = false;
-      relay.advance(waits ? 9000 : 0);
+      relay.ignoresPolls = false;
+      relay.advance(isLongPoll ? 9000 : 0);
       relay.announceDraining();
-      const double notifiedMs = relay.clock.nowMs + kSilentNotifiedMs;  // after the wait's end and 2 s
+      const double notifiedMs =
+          relay.clock.nowMs + kNotifiedMs;  // also at least 2 s after the wait has ended
       const std::string text = relay.answer();
-      relay.hub.send(*relay.silent.begin(), text.substr(0, text.size() / 2));
+      relay.hub.send(*relay.silentConnections.begin(), text.substr(0, text.size() / 2));
       CHECK(relay.advanceUntilKnown(notifiedMs) <= notifiedMs + fleet.graceMs + kSlackMs);
     }
   });
@@ -66,24 +67,24 @@
 
 TEST_CASE("an answer that makes progress is not abandoned") {
   FleetRelayFixture relay({1, 2000}, 1, false);
-  relay.mute = true;
+  relay.ignoresPolls = true;
   relay.advanceUntilPolls(1);
   relay.advance(4000);
   relay.announceDraining();
   const std::string text = relay.answer();
   for (std::size_t i = 0; i < text.size(); i += text.size() / 4 + 1) {
-    relay.hub.send(*relay.silent.begin(), text.substr(i, text.size() / 4 + 1));
+    relay.hub.send(*relay.silentConnections.begin(), text.substr(i, text.size() / 4 + 1));
     relay.advance(1000);
   }
   CHECK(relay.knowsDraining());
 }
 
 TEST_CASE("a long poll whose connection breaks delays a change by no more than the grace") {
-  forEach([](const FleetSize& fleet, std::uint64_t seed) {
+  forEachFleet([](const FleetSize& fleet, std::uint64_t seed) {
     FleetRelayFixture relay(fleet, seed, false);
-    relay.advanceUntilPolls(2);  // the second waits, on a connection of its own
+    relay.advanceUntilPolls(2);  // the second is a long poll on its own connection
     REQUIRE(relay.connections.size() == 2);
-    relay.announceDraining();  // what the agent has counts at once
+    relay.announceDraining();  // the relay counts as notified immediately
     const double notifiedMs = relay.clock.nowMs;
     relay.hub.close(relay.lastPollFrom);
     CHECK(relay.advanceUntilKnown(notifiedMs) <= notifiedMs + fleet.graceMs + kSlackMs);
@@ -91,28 +92,28 @@
 }
 
 TEST_CASE("a change is known within the grace after the start, and four seconds later after SIGHUP") {
-  forEach([](const FleetSize& fleet, std::uint64_t seed) {
+  forEachFleet([](const FleetSize& fleet, std::uint64_t seed) {
     FleetRelayFixture relay(fleet, seed, true);
     relay.announceDraining();
     CHECK(relay.advanceUntilKnown(0) <= fleet.graceMs + kSlackMs);
 
-    FleetRelayFixture moved(fleet, seed, true);
-    moved.advanceUntilPolls(1);
-    // The old address refuses by now, and each time the pause grows.
-    moved.fails = 1000;
-    moved.hub.close(*moved.connections.begin());
-    moved.advance(120e3);
-    moved.fails = fleet.relays <= 30 ? 1 : 0;  // the pause after a failure grows with the fleet
-    const double notifiedMs = moved.clock.nowMs + kReloadNotifiedMs;
-    moved.announceDraining();
-    moved.client->onAddressChanged();
-    CHECK(moved.advanceUntilKnown(notifiedMs) <= notifiedMs + fleet.graceMs + kSlackMs);
+    FleetRelayFixture reloaded(fleet, seed, true);
+    reloaded.advanceUntilPolls(1);
+    // The directory at the old address rejects polls, so the backoff grows.
+    reloaded.rejectionsLeft = 1000;
+    reloaded.hub.close(*reloaded.connections.begin());
+    reloaded.advance(120e3);
+    reloaded.rejectionsLeft = fleet.relays <= 30 ? 1 : 0;  // the pause after a failure grows with the fleet
+    const double notifiedMs = reloaded.clock.nowMs + kReloadNotifiedMs;
+    reloaded.announceDraining();
+    reloaded.client->onAddressChanged();
+    CHECK(reloaded.advanceUntilKnown(notifiedMs) <= notifiedMs + fleet.graceMs + kSlackMs);
   });
 }
 
 namespace {
 
-// As a person would write it: each member and item on a line of its own.
+// Formats JSON with each member and item on a line of its own.
 std::string indented(const std::string& text) {
   std::string out;
   bool inString = false;
--- a/tests/discovery/removal_guard_test.cpp
+++ b/tests/discovery/removal_guard_test.cpp
@@ -1,4 +1,4 @@
-// The removal guard within the endpoint directory: what it retains, for how long, and over a restart.
+// The removal guard in the endpoint directory: what it retains, for how long, and after a restart.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -21,8 +21,8 @@
   process.onList(listOf(1, ten));
   process.onList(listOf(2, {}));
   CHECK(process.directory.endpoints().all().size() == 10);
-  CHECK(has(process.log.str(), "leaves out 10 of 10 endpoints at once; they are kept for now"));
-  // In so many words: at once.
+  CHECK(has(process.log.str(), "a complete list omits 10 of 10 endpoints; retaining them for now"));
+  // Explicit removals and drains are applied immediately.
   process.onList(listOf(
       3,
       {endpoint("e0", 7, 3000, EndpointState::kRemoved), endpoint("e1", 7, 3001, EndpointState::kDraining)},
@@ -32,13 +32,14 @@
   process.advance(1000);
   CHECK(process.forbiddenSends.empty());
   CHECK(process.sent.size() == 1);
-  // What comes back is no longer missing; the rest goes when the guard's time is over, a repeated lie or not.
+  // Endpoints that a list contains again are not missing any more. The others are removed when the guard
+  // expires, even if another list omits them too.
   process.onList(listOf(4, {ten[2], ten[3]}));
   process.advance(30e3);
   process.onList(listOf(5, {ten[2], ten[3]}));
   process.advance(31e3);
   CHECK(textOf(process.directory.endpoints().all()) == "e2@127.0.0.1:3002/7\ne3@127.0.0.1:3003/7\n");
-  // A few, or the half, is believed at once.
+  // Half of the endpoints does not exceed the threshold, so they are removed immediately.
   process.onList(listOf(6, ten));
   process.onList(listOf(7, {ten.begin(), ten.begin() + 5}));
   CHECK(process.directory.endpoints().all().size() == 5);
@@ -66,7 +67,7 @@
   CHECK_FALSE(process.directory.needsCompleteList());
   process.advance(61e3);
   CHECK(process.directory.endpoints().all().size() == 1);
-  // The end of the guard is written too, though discovery has said nothing since.
+  // The removal at the end of the guard is written to the cache, although discovery sent no answer since.
   lab::FaultyFiles files(disk);
   CHECK(textOf(readCachedList(files, "/s", &kNames).list) == textOf(process.directory.endpoints().all()));
 }
--- a/tests/integration/stale_starts_test.cpp
+++ b/tests/integration/stale_starts_test.cpp
@@ -224,7 +224,7 @@
   town.directory.become(away);
   town.second.become(Directory::Mode::kDown);
   town.start("", seed);
-  CHECK(town.said("beginning with the kept list, rev 41, "));
+  CHECK(town.said("starting with the cached list, rev 41, "));
   CHECK(town.said(std::string(", ") + age.trust + "\n"));
 
   // By the kept list: all slots taken, and more messages held.
@@ -324,7 +324,7 @@
   town.until("the first is believed", [&] { return town.directory.heard(); });
   town.directory.become(Directory::Mode::kDown);
   town.until("the second is doubted",
-             [&] { return town.said("directory 1 has rev 40, rev 50 came from another"); });
+             [&] { return town.said("directory 1 sent revision 40, older than revision 50 of another"); });
   town.handIn(2, 7, 5);
   town.until("the five run", [&] { return town.a.calls.size() == 5; });
   CHECK(town.elsewhere.calls.empty());
@@ -339,7 +339,7 @@
   town.directory.tell({town.a.entry()}, 45);  // restored from a backup
   town.directory.become(Directory::Mode::kUp);
   town.until("now the first is doubted",
-             [&] { return town.said("directory 0 has rev 45, rev 51 came from another"); });
+             [&] { return town.said("directory 0 sent revision 45, older than revision 51 of another"); });
   town.handIn(2, 7, 5);
   town.until("the last five run", [&] { return town.elsewhere.calls.size() == 10; });
   CHECK(town.a.calls.size() == 5);
