--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -19,30 +19,33 @@
 
 using json::Value;
 
-// The bounds of one limit.
+// The default and the minimum of a key in `limits`.
 struct LimitRule {
   const char* key;
-  double byDefault;
+  double defaultValue;
   double minimum;
 };
-constexpr LimitRule kSockets{"sockets", 1024, 64};    // fewer leave none for clients beside the calls
-constexpr LimitRule kMemoryMb{"memory_mb", 192, 16};  // less does not fit the program and the longest list
+constexpr LimitRule kSockets{"sockets", 1024, 64};  // with fewer, calls would leave none for clients
+constexpr LimitRule kMemoryMb{"memory_mb", 192,
+                              16};  // the program and the longest endpoint list need this much
 constexpr LimitRule kDiskMb{"disk_mb", 1, 0.0625};
-constexpr double kMaxLimit = 1e9;  // more than any machine has of anything
+constexpr double kMaxLimit = 1e9;  // for each of them; larger than the resources of any machine
 constexpr double kBytesPerMb = 1e6;
 
+// Returns the value of an environment variable, or an empty string if it is not set.
 std::string variable(const Environment& environment, const std::string& name) {
   const auto found = environment.find(name);
   return found == environment.end() ? std::string() : found->second;
 }
 
-// nullptr if it is missing.
+// Returns the object under the key, or nullptr if the key is missing.
 const Value* objectAt(const Value& parent, const std::string& key) {
   const Value* value = parent.find(key);
   if (value && value->type != Value::Type::kObject) rejectKey(key, "not an object");
   return value;
 }
 
+// Reads an address from the environment variable or, if that is not set, from the key.
 Address address(const Environment& environment, const std::string& variableName, const Value& root,
                 const std::string& key) {
   std::string text = variable(environment, variableName);
@@ -55,7 +58,7 @@
 
 double limit(const Value& limits, const LimitRule& rule) {
   const Value* given = limits.find(rule.key);
-  if (!given) return rule.byDefault;
+  if (!given) return rule.defaultValue;
   const std::string path = std::string("limits.") + rule.key;
   if (given->type != Value::Type::kNumber) rejectKey(path, "not a number");
   const double value = limits.number(rule.key).value_or(NAN);
@@ -87,24 +90,24 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// What the operator's file names must exist in the settings.
+// Checks that the classes and tenants named in the operator's file exist in the settings.
 void checkOperatorNames(const Config& config) {
   for (const OperatorFile::ClassFreshness& entry : config.operatorFile.endpointList.classes)
     if (!contains(config.classes, entry.className))
       rejectKey("membership.classes." + entry.className,
-                "the operator's file names a class that settings.classes does not");
+                "the operator's file names a class that is not in settings.classes");
   for (const QuotaPlan::Node& node : config.operatorFile.quota.nodes)
     if (!node.tenant.empty() && !contains(config.tenants, node.tenant))
       rejectKey("quota.node." + node.name,
-                "the operator's file names a tenant that settings.tenants does not");
+                "the operator's file names a tenant that is not in settings.tenants");
 }
 
-// The fleet gets half of the descriptors and of the memory at most: the clients' part is what the relay is
-// for.
+// Checks that the connections to the fleet need at most half of the file descriptors and of the memory, so
+// that the other half is left for clients and calls.
 void checkFleet(const Config& config) {
   const FleetPlan& plan = config.operatorFile.fleet;
   if (!plan.on) return;
-  if (!isFleetName(config.name)) rejectKey("name", "'" + config.name + "' cannot be a name in a fleet");
+  if (!isFleetName(config.name)) rejectKey("name", "'" + config.name + "' is not a valid name in a fleet");
   const FleetNeeds needs = fleetNeeds(plan.peers.size(), config.memoryBytes);
   const std::string prefix = std::to_string(plan.peers.size()) + " peers need up to ";
   if (needs.descriptors > config.sockets / 2)
@@ -134,7 +137,7 @@
   return config;
 }
 
-// Whether the fault is at a key of the JSON file, not at a variable or in the operator's file.
+// Whether the error is at a key of the JSON file, rather than at a variable or in the operator's file.
 bool isInJsonFile(const ConfigError& error) {
   static const std::set<std::string> kTopLevelKeys = {"name",   "listen", "discovery", "seed",
                                                       "limits", "known",  "settings"};
--- a/src/config/config_errors.h
+++ b/src/config/config_errors.h
@@ -1,9 +1,9 @@
-// How the readers of the JSON configuration report a fault: by the path of its key. `readConfig` adds line
-// and column, which only it can look up.
+// Errors of the readers of the JSON configuration. A reader reports the path of the key; `readConfig`, which
+// has the text of the file, adds line and column.
 //
 //   rejectKey("settings.classes[2].repeat", "expected repeatable, by_key or once");
 //
-// No state; safe for several threads.
+// Thread-safe: there is no shared state.
 #pragma once
 
 #include <string>
@@ -13,12 +13,12 @@
 
 namespace myrtleloft {
 
-// Throws ConfigError with the text "KEY: WHAT". `key`: a path in the file, or a variable of the environment.
+// Throws a ConfigError with the text "KEY: WHAT". `key` is a path in the file or an environment variable.
 [[noreturn]] inline void rejectKey(const std::string& key, const std::string& what) {
   throw ConfigError(key + ": " + what, {"", key, 0, 0});
 }
 
-// `what`, with line and column.
+// Returns `what` with line and column appended.
 inline std::string withPlace(const std::string& what, const json::Place& place) {
   return what + " (line " + std::to_string(place.line) + ", column " + std::to_string(place.column) + ")";
 }
--- a/src/config/endpoint_list_section.cpp
+++ b/src/config/endpoint_list_section.cpp
@@ -1,3 +1,4 @@
+// Reads the section [membership].
 #include <algorithm>
 
 #include "config/operator_sections.h"
@@ -9,17 +10,18 @@
 constexpr std::int64_t kYearSeconds = std::int64_t{366} * 24 * 3600;
 constexpr std::int64_t kMinuteMs = 60000;
 
-// A span that is left out moves along with the one before: each state begins where the one before ends.
-void readSpans(SectionReader& reader, OperatorFile::EndpointListSection& section) {
+// Reads the maximum ages of the list in each state. Each state begins where the one before ends, so the
+// maximum age of a state must not be less than that of the state before. If a key is missing and its default
+// is too low, the maximum age of the state before is used.
+void readMaxAges(SectionReader& reader, OperatorFile::EndpointListSection& section) {
   const auto fresh = reader.integer("fresh_s", 1, kYearSeconds);
   const auto ageing = reader.integer("ageing_s", 1, kYearSeconds);
   const auto stale = reader.integer("old_s", 1, kYearSeconds);
   section.freshSeconds = fresh.value_or(section.freshSeconds);
   section.ageingSeconds = ageing.value_or(std::max(section.ageingSeconds, section.freshSeconds));
   section.staleSeconds = stale.value_or(std::max(section.staleSeconds, section.ageingSeconds));
-  if (section.ageingSeconds < section.freshSeconds)
-    reader.reject("ageing_s", "expected no less than fresh_s");
-  if (section.staleSeconds < section.ageingSeconds) reader.reject("old_s", "expected no less than ageing_s");
+  if (section.ageingSeconds < section.freshSeconds) reader.reject("ageing_s", "expected at least fresh_s");
+  if (section.staleSeconds < section.ageingSeconds) reader.reject("old_s", "expected at least ageing_s");
 }
 
 void readBackoff(SectionReader& reader, OperatorFile::EndpointListSection& section) {
@@ -28,7 +30,7 @@
   section.minBackoffMs = minimum.value_or(section.minBackoffMs);
   if (maximum) section.maxBackoffMs = *maximum;
   if (section.maxBackoffMs && *section.maxBackoffMs < section.minBackoffMs)
-    reader.reject("most_back_off_ms", "expected no less than back_off_ms");
+    reader.reject("most_back_off_ms", "expected at least back_off_ms");
 }
 
 }  // namespace
@@ -36,7 +38,7 @@
 void readEndpointList(SectionReader& reader, OperatorFile::EndpointListSection& section) {
   section.cache = reader.flag("keep").value_or(section.cache);
   section.rejectByAge = reader.flag("refuse").value_or(section.rejectByAge);
-  readSpans(reader, section);
+  readMaxAges(reader, section);
   for (const SectionReader::NamedChoice& entry :
        reader.choicePerKey("classes", {"fresh", "ageing", "old", "expired"}))
     section.classes.push_back({entry.key, entry.index});
--- a/src/config/fleet_section.cpp
+++ b/src/config/fleet_section.cpp
@@ -1,3 +1,4 @@
+// Reads the section [fleet].
 #include <algorithm>
 
 #include "config/operator_sections.h"
@@ -5,32 +6,34 @@
 namespace myrtleloft {
 namespace {
 
-// Keys whose feature is not part of the program: each is rejected rather than ignored.
-constexpr bool kReplicationBuilt = false;
-constexpr bool kPopularityBuilt = false;
+// Whether these features are implemented. The keys of a feature that is not are rejected rather than ignored.
+constexpr bool kReplicationImplemented = false;
+constexpr bool kPopularityImplemented = false;
 
-constexpr std::int64_t kMaxCopies = 4;  // each further one costs a write and survives no likelier failure
+// Each further copy would cost a write, and protect only against less likely failures.
+constexpr std::int64_t kMaxCopies = 4;
 constexpr std::int64_t kMinWarmKb = 16;
 constexpr std::int64_t kMaxWarmKb = std::int64_t{64} * 1024;
 constexpr std::int64_t kMaxAuditSeconds = std::int64_t{24} * 3600;
 constexpr std::int64_t kDefaultAuditSeconds = 30;
 constexpr const char* kExpectedPeer = "a relay's name and its address, as in \"n2=10.0.0.5:7101\"";
 
-void rejectIfNotBuilt(const SectionReader& reader, const char* key, bool built) {
-  if (!built && reader.has(key)) reader.reject(key, "not built yet, expected to be left out");
+void rejectIfNotImplemented(const SectionReader& reader, const char* key, bool implemented) {
+  if (!implemented && reader.has(key)) reader.reject(key, "not implemented yet, expected to be omitted");
 }
 
-// Adds a peer, as in "n2=127.0.0.1:7102". What was expected in its place; none: it is valid.
+// Adds a peer, as in "n2=127.0.0.1:7102". Returns std::nullopt if the text is valid, otherwise what was
+// expected in its place.
 std::optional<std::string> addPeer(const std::string& text, const std::string& relay, FleetPlan& plan) {
   const std::size_t equals = text.find('=');
   const auto address = equals == std::string::npos ? std::nullopt : parseAddress(text.substr(equals + 1));
   const std::string name = text.substr(0, equals);
   if (!address || ntohs(address->raw.sin_port) == 0 || !isFleetName(name)) return kExpectedPeer;
-  if (name == relay) return "other relays than this one";
-  if (address->text == plan.listen.text) return "another address than this relay's own";
+  if (name == relay) return "relays other than this one";
+  if (address->text == plan.listen.text) return "an address other than this relay's own";
   for (const FleetPlan::Peer& peer : plan.peers) {
-    if (peer.name == name) return "each name once";
-    if (peer.address.text == address->text) return "each address once";
+    if (peer.name == name) return "each name only once";
+    if (peer.address.text == address->text) return "each address only once";
   }
   if (plan.peers.size() == kMostPeers) return std::to_string(kMostPeers) + " peers at most";
   plan.peers.push_back({name, *address});
@@ -52,8 +55,8 @@
 void readCopies(SectionReader& reader, FleetPlan& plan) {
   plan.copies = static_cast<int>(reader.integer("copies", 0, kMaxCopies).value_or(0));
   if (static_cast<std::size_t>(plan.copies) > plan.peers.size())
-    reader.reject("copies", "expected no more than there are peers");
-  if (plan.copies > 0 && !kReplicationBuilt) reader.reject("copies", "not built yet, expected 0");
+    reader.reject("copies", "expected at most the number of peers");
+  if (plan.copies > 0 && !kReplicationImplemented) reader.reject("copies", "not implemented yet, expected 0");
   plan.whenShort = reader.choice("when_short", {"refuse", "alone"}).value_or(0) == 1
                        ? FleetPlan::WhenShort::kAlone
                        : FleetPlan::WhenShort::kRefuse;
@@ -69,7 +72,7 @@
   readCopies(reader, plan);
   reader.section("popularity", [](SectionReader& popularity) {
     popularity.integer("warm_kb", kMinWarmKb, kMaxWarmKb);
-    rejectIfNotBuilt(popularity, "warm_kb", kPopularityBuilt);
+    rejectIfNotImplemented(popularity, "warm_kb", kPopularityImplemented);
   });
   reader.section("audit", [&](SectionReader& audit) {
     plan.auditEveryS =
--- a/src/config/live_config.cpp
+++ b/src/config/live_config.cpp
@@ -13,8 +13,8 @@
 
 using json::Value;
 
-// A key that applies until the process ends, and the variable that overrides it, if there is one.
-// `discovery`, `known` and `seed` are not among them: they describe the moment and may change at any time.
+// A key that cannot be changed while the process runs, and the environment variable that overrides it, if
+// there is one. `discovery`, `known` and `seed` are not listed, because they may change at any time.
 struct RestartKey {
   const char* key;
   const char* variable;
@@ -46,7 +46,7 @@
   return before.items.size() == after.items.size() ? std::nullopt : std::optional(path);
 }
 
-// The path of the first key that differs; none: the values are equal.
+// Returns the path of the first key that differs, or std::nullopt if the values are equal.
 std::optional<std::string> firstDifference(const Value& before, const Value& after, const std::string& path) {
   if (before.type != after.type) return path;
   switch (before.type) {
@@ -61,7 +61,8 @@
   }
 }
 
-// The part of the file that applies until the process ends; a key that a variable overrides does not.
+// Returns the part of the file that cannot be changed while the process runs. A key that an environment
+// variable overrides is not part of it, because its value in the file is not used.
 Value restartPart(const Environment& environment, const std::string& text) {
   std::string error;
   Value root = json::parse(text, error).value_or(Value());
@@ -86,8 +87,9 @@
 }
 
 std::optional<ConfigError> LiveConfig::reload() {
-  // The variable says where discovery was at the start. A file replaced since is more recent: were the
-  // variable still to override it, the relay would stay with an address that may not answer any more.
+  // The environment variable holds the address of discovery at the start of the process. After a reload the
+  // file is more recent, so the variable must not override it any more: that address may no longer be
+  // reachable.
   Environment environment = environment_;
   environment.erase("BALANCER_DISCOVERY");
   try {
@@ -95,7 +97,7 @@
     const Config fresh = readConfig(environment, file.text);
     environment_ = std::move(environment);
     config_.discovery = fresh.discovery;
-    // The rest of the section, and whether there is one, applies from the next start on.
+    // Other keys of the section, and adding or removing the section, take effect at the next start.
     if (config_.operatorFile.fleet.on && fresh.operatorFile.fleet.on)
       config_.operatorFile.fleet.peers = fresh.operatorFile.fleet.peers;
     const std::optional<std::string> difference =
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -60,9 +60,9 @@
   if (!file) throw unreadable;
   std::string text;
   try {
-    // Not by inserting its buffer into a stream: that fails where there is nothing to insert.
+    // Inserting the file's buffer into a stream would fail for an empty file.
     text.assign(std::istreambuf_iterator<char>(file), {});
-  } catch (const std::ios_base::failure&) {  // as with a folder
+  } catch (const std::ios_base::failure&) {  // thrown if `path` is a directory
     throw unreadable;
   }
   return parseOperatorFile(text, path, relay);
--- a/src/config/operator_sections.h
+++ b/src/config/operator_sections.h
@@ -1,5 +1,5 @@
-// The larger sections of the operator's file, each read in a source of its own. Each fills in what the
-// section gives and leaves the rest at its default. All throw ConfigError.
+// Readers of the larger sections of the operator's file, each in its own source file. Each sets the values
+// that the section contains, and leaves the others at their defaults. All of them throw ConfigError.
 #pragma once
 
 #include <string>
@@ -13,7 +13,8 @@
 void readEndpointList(SectionReader& reader, OperatorFile::EndpointListSection& section);
 // [quota]
 void readQuota(SectionReader& reader, QuotaPlan& plan);
-// [fleet]. `relay`: the own name, which must not be among the peers; empty: not known and not checked.
+// [fleet]. `relay` is the name of this relay, which must not be one of the peers; if it is empty, this is not
+// checked.
 void readFleet(SectionReader& reader, const std::string& relay, FleetPlan& plan);
 
 }  // namespace myrtleloft
--- a/src/config/quota_section.cpp
+++ b/src/config/quota_section.cpp
@@ -1,3 +1,4 @@
+// Reads the section [quota].
 #include <map>
 #include <set>
 #include <string>
@@ -13,8 +14,8 @@
 constexpr std::int64_t kMaxQuota = 1'000'000'000'000;
 constexpr std::size_t kMaxWindows = 8;
 
-// Reads the nodes one after another and checks each against those above it in the file, so that no node can
-// be its own ancestor.
+// Reads the nodes in the order of the file, and checks each against the nodes before it. The parent of a node
+// must come before it, so no node can be its own ancestor.
 class NodeReader {
  public:
   explicit NodeReader(QuotaPlan& plan) : plan_(plan) {}
@@ -43,16 +44,17 @@
   void readName(SectionReader& reader, QuotaPlan::Node& node) {
     node.name = reader.text("name").value_or("");
     if (node.name.empty()) reader.rejectMissing("name");
-    if (!names_.insert(node.name).second) reader.reject("name", "expected one that no node above has");
+    if (!names_.insert(node.name).second) reader.reject("name", "expected a name that no earlier node has");
   }
 
   void checkParent(const SectionReader& reader, const QuotaPlan::Node& node) const {
     const bool isRoot = node.parent.empty();
     if (!isRoot && !tenantByNode_.count(node.parent))
-      reader.reject("parent", "expected the name of a node above this one in the file");
+      reader.reject("parent", "expected the name of an earlier node in the file");
     if (isRoot && node.tenant.empty()) reader.rejectMissing("tenant");
-    if (!isRoot && !node.tenant.empty()) reader.reject("tenant", "expected no tenant beside a parent");
-    if (isRoot && !node.unit.empty()) reader.reject("unit", "expected no unit beside a tenant");
+    if (!isRoot && !node.tenant.empty())
+      reader.reject("tenant", "expected no tenant in a node with a parent");
+    if (isRoot && !node.unit.empty()) reader.reject("unit", "expected no unit in a node without a parent");
   }
 
   void checkUniqueInTenant(const SectionReader& reader, const QuotaPlan::Node& node) {
@@ -60,22 +62,22 @@
     const std::string tenant = isRoot ? node.tenant : tenantByNode_[node.parent];
     tenantByNode_[node.name] = tenant;
     if (isRoot && !tenants_.insert(tenant).second)
-      reader.reject("tenant", "expected one that no node above has");
+      reader.reject("tenant", "expected a tenant that no earlier node has");
     if (node.rest && (isRoot || !node.unit.empty()))
-      reader.reject("rest", "expected below a tenant's node, without a unit");
+      reader.reject("rest", "expected only in a node with a parent and without a unit");
     if (!node.unit.empty() && !units_.insert({tenant, node.unit}).second)
-      reader.reject("unit", "expected one that no node of the tenant has");
+      reader.reject("unit", "expected a unit that no earlier node of the tenant has");
     if (node.rest && !tenantsWithRest_.insert(tenant).second)
-      reader.reject("rest", "expected once for each tenant");
+      reader.reject("rest", "expected in at most one node of each tenant");
   }
 
   void readQuotas(SectionReader& reader, QuotaPlan::Node& node) const {
     const std::size_t windows = plan_.windowsS.size();
-    const char* expected = "as many whole numbers as there are windows, at most, 0 for no limit";
+    const char* expected = "at most one whole number per window, 0 for no limit";
     node.messages = reader.numbers<std::int64_t>("messages", 0, kMaxQuota, windows, expected);
     node.calls = reader.numbers<std::int64_t>("calls", 0, kMaxQuota, windows, expected);
     node.worth = reader.numbers<double>("worth", 0, static_cast<double>(kMaxQuota), windows,
-                                        "as many numbers as there are windows, at most, 0 for no limit");
+                                        "at most one number per window, 0 for no limit");
   }
 
   QuotaPlan& plan_;
@@ -89,12 +91,12 @@
 }  // namespace
 
 void readQuota(SectionReader& reader, QuotaPlan& plan) {
-  plan.windowsS =
-      reader.numbers<std::int64_t>("windows_s", 1, kDaySeconds, kMaxWindows,
-                                   "up to 8 spans in seconds, from 1 to 86400, each longer than the last");
+  plan.windowsS = reader.numbers<std::int64_t>(
+      "windows_s", 1, kDaySeconds, kMaxWindows,
+      "up to 8 spans in seconds, from 1 to 86400, each longer than the one before");
   for (std::size_t i = 1; i < plan.windowsS.size(); ++i)
     if (plan.windowsS[i] <= plan.windowsS[i - 1])
-      reader.reject("windows_s", "expected each longer than the last");
+      reader.reject("windows_s", "expected each to be longer than the one before");
   plan.header = reader.text("header").value_or("");
   plan.mostAwake = reader.integer("most_awake", 16, 10'000'000).value_or(plan.mostAwake);
   NodeReader nodes(plan);
--- a/src/config/section_reader.cpp
+++ b/src/config/section_reader.cpp
@@ -8,6 +8,7 @@
 namespace myrtleloft {
 namespace {
 
+// The value as it is shown in an error text.
 std::string describe(const toml::node& node) {
   std::ostringstream text;
   if (node.is_table())
@@ -56,7 +57,7 @@
   const toml::node* node = take(key);
   if (!node) return std::nullopt;
   auto value = node->value_exact<std::string>();
-  if (!value || value->empty()) rejectNode(*node, key, "expected a text");
+  if (!value || value->empty()) rejectNode(*node, key, "expected a non-empty string");
   return value;
 }
 
@@ -97,7 +98,7 @@
   const toml::node* node = take(key);
   if (!node) return;
   const toml::array* array = node->as_array();
-  if (!array) rejectNode(*node, key, "expected sections [[" + pathOf(key) + "]]");
+  if (!array) rejectNode(*node, key, "expected an array of sections [[" + pathOf(key) + "]]");
   for (const toml::node& item : *array) {
     const toml::table* table = item.as_table();
     if (!table) rejectNode(item, key, "expected a section");
@@ -136,7 +137,7 @@
     std::string list;
     for (const std::string& known : knownKeys_) list += (list.empty() ? "" : ", ") + known;
     rejectPosition(key.source().begin ? key.source().begin : node.source().begin, std::string(key.str()),
-                   "unknown; known here: " + list);
+                   "unknown key; valid keys: " + list);
   }
 }
 
--- a/src/config/settings_section.cpp
+++ b/src/config/settings_section.cpp
@@ -13,10 +13,13 @@
 
 using json::Value;
 
-constexpr std::size_t kMaxHeadersPerDisk = 32;  // larger headers would leave little of the disk to records
+// A segment header may take this fraction of the disk limit. Larger ones would leave too little space for
+// records.
+constexpr std::size_t kMaxHeadersPerDisk = 32;
 
-// Appends the settings in the form of the simulator's wire: path=value pairs, plain lists joined with commas,
-// lists of objects with their length under .count and their items under .0, .1 and so on.
+// Appends the settings in the wire format of the simulator: path=value pairs. The items of a list of numbers
+// or strings are joined with commas. A list of objects has its length under .count and its items under .0, .1
+// and so on.
 void flatten(const std::string& path, const Value& value, std::string& out) {
   const std::string prefix = path.empty() ? "" : path + ".";
   if (value.type == Value::Type::kObject) {
@@ -42,12 +45,12 @@
   out += (out.empty() ? "" : "\t") + path + "=" + text;
 }
 
-// The words that the file has for Idempotency and for DeduplicationScope.
+// The names of the values of Idempotency and DeduplicationScope in the file.
 using Words = std::array<const char*, 3>;
 constexpr Words kRepeatWords = {"repeatable", "by_key", "once"};
 constexpr Words kGroupWords = {"all", "zone", "cell"};
 
-// nullptr if it is missing or null.
+// Returns the list under the key, or nullptr if it is missing or null.
 const Value* listAt(const Value& parent, const std::string& key, const std::string& path) {
   const Value* list = parent.find(key);
   if (!list || list->type == Value::Type::kNull) return nullptr;
@@ -55,18 +58,19 @@
   return list;
 }
 
+// Reads a list of strings; empty if it is missing or null.
 std::vector<std::string> strings(const Value& parent, const std::string& key, const std::string& path) {
   const std::string fullPath = path + "." + key;
   std::vector<std::string> texts;
   if (const Value* list = listAt(parent, key, path))
     for (const Value& item : list->items) {
-      if (item.type != Value::Type::kString) rejectKey(fullPath, "not a list of texts");
+      if (item.type != Value::Type::kString) rejectKey(fullPath, "not a list of strings");
       texts.push_back(item.text);
     }
   return texts;
 }
 
-// The decoding takes an unknown word for the default one, so it must be rejected here.
+// Rejects an unknown word. The decoder of the wire format would treat it as the default.
 void checkWord(const Value& cls, const std::string& path, const char* key, const Words& words) {
   const Value* given = cls.find(key);
   if (!given || given->type == Value::Type::kNull) return;
@@ -82,14 +86,15 @@
     const Value& cls = list->items[i];
     if (cls.type != Value::Type::kObject) rejectKey(path, "not an object");
     checkWord(cls, path, "repeat", kRepeatWords);
-    // For other classes the group has no meaning and is ignored.
+    // The group is ignored in classes without idempotency keys.
     if (cls.string("repeat") == "by_key") checkWord(cls, path, "group", kGroupWords);
     const auto hasSameName = [&](const Value& other) { return other.string("name") == cls.string("name"); };
     const auto current = list->items.begin() + static_cast<std::ptrdiff_t>(i);
-    if (std::any_of(list->items.begin(), current, hasSameName)) rejectKey(path + ".name", "stands twice");
+    if (std::any_of(list->items.begin(), current, hasSameName)) rejectKey(path + ".name", "duplicate name");
   }
 }
 
+// Reads the key "name" of each object in a list.
 std::vector<std::string> namesOf(const Value& settings, const std::string& key) {
   std::vector<std::string> names;
   if (const Value* list = listAt(settings, key, "settings"))
@@ -103,7 +108,7 @@
 }
 
 void checkSettings(const Settings& settings) {
-  if (settings.classes.empty()) rejectKey("settings.classes", "none given");
+  if (settings.classes.empty()) rejectKey("settings.classes", "must not be empty");
   for (std::size_t i = 0; i < settings.classes.size(); ++i)
     if (settings.classes[i].maxLifetimeMs <= 0)
       rejectKey("settings.classes[" + std::to_string(i) + "].hardLimitMs", "must be above 0");
@@ -124,14 +129,13 @@
   const std::size_t headerBytes = Journal::headBytes(table);
   if (headerBytes > config.diskBytes / kMaxHeadersPerDisk || headerBytes > kLongestRecord)
     rejectKey("settings", "the names of classes, tenants and zones would take " +
-                              std::to_string(headerBytes) +
-                              " bytes in each of the journal's files, more than a " +
-                              std::to_string(kMaxHeadersPerDisk) + "th of limits.disk_mb");
+                              std::to_string(headerBytes) + " bytes in each journal segment, more than 1/" +
+                              std::to_string(kMaxHeadersPerDisk) + " of limits.disk_mb");
   return table;
 }
 
 Settings decodeSettings(const Value& root, const Value& settings) {
-  // The file has the seed as hex digits, the wire as a decimal number.
+  // The seed consists of hex digits in the file, and is a decimal number in the wire format.
   const std::string seedText = root.string("seed").value_or("0");
   std::uint64_t seed = 0;
   const char* end = seedText.data() + seedText.size();
--- a/src/config/settings_section.h
+++ b/src/config/settings_section.h
@@ -1,6 +1,7 @@
-// The deployment's `settings` in the JSON configuration, checked, and decoded exactly as the simulator's
-// adapter decodes them from its wire. Unknown keys are ignored. No state; safe for several threads;
-// O(settings).
+// Reads the object `settings` of the JSON configuration. It is checked, and decoded by the same code with
+// which the simulator adapter decodes settings from its wire format. Unknown keys are ignored.
+//
+// Thread-safe: there is no shared state. O(settings).
 #pragma once
 
 #include "config/config.h"
@@ -8,8 +9,8 @@
 
 namespace myrtleloft {
 
-// Fills in all of `config` that the settings say; `config.diskBytes` must be set. Throws ConfigError with the
-// key.
+// Sets all members of `config` that derive from the settings. `config.diskBytes` must be set already. Throws
+// a ConfigError that names the key.
 void readSettingsSection(const json::Value& root, Config& config);
 
 }  // namespace myrtleloft
--- a/tests/config/config_faults_test.cpp
+++ b/tests/config/config_faults_test.cpp
@@ -1,4 +1,4 @@
-// Faults in the JSON configuration: each is rejected with key, line and column.
+// Errors in the JSON configuration: each is rejected with key, line and column.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -32,7 +32,7 @@
   }
 })";
 
-// The fault of kValid with one part replaced; empty: it is still valid.
+// Returns the error text of kValid with one part replaced, or an empty string if it is still valid.
 std::string faultOf(const std::string& part, const std::string& replacement) {
   std::string text = kValid;
   const std::size_t at = text.find(part);
@@ -68,9 +68,9 @@
            "settings.classes[1].group: expected all, zone or cell (line 14, column 78)");
   CHECK_EQ(faultOf("\"all\"}", "\"rack\"}"), "");  // without a key, the group is ignored
   CHECK_EQ(faultOf("\"charge\"", "\"status\""),
-           "settings.classes[2].name: stands twice (line 15, column 16)");
+           "settings.classes[2].name: duplicate name (line 15, column 16)");
   CHECK_EQ(faultOf("[\"norte\", \"sur\"]", "\"norte\""), "settings.azs: not a list (line 7, column 12)");
-  CHECK_EQ(faultOf("\"sur\"", "3"), "settings.azs: not a list of texts (line 7, column 12)");
+  CHECK_EQ(faultOf("\"sur\"", "3"), "settings.azs: not a list of strings (line 7, column 12)");
   CHECK_EQ(faultOf("[{\"name\": \"costa\"}]", "{}"), "settings.tenants: not a list (line 11, column 16)");
   CHECK_EQ(faultOf("256", "\"256\""), "limits.sockets: not a number (line 4, column 25)");
   CHECK_EQ(faultOf("256", "3"), "limits.sockets: below 64.000000 (line 4, column 25)");
@@ -107,7 +107,7 @@
   for (int i = 0; i < 3000; ++i) many += "{\"name\": \"tenant-" + std::to_string(i) + "\"},";
   many.back() = ']';
   CHECK(has(faultOf("[{\"name\": \"costa\"}]", many),
-            "bytes in each of the journal's files, more than a 32th"));
+            "bytes in each journal segment, more than 1/32 of limits.disk_mb"));
   many = "[";
   for (int i = 0; i < 500; ++i) many += "{\"name\": \"tenant-" + std::to_string(i) + "\"},";
   many.back() = ']';
--- a/tests/config/deploy_test.cpp
+++ b/tests/config/deploy_test.cpp
@@ -1,4 +1,4 @@
-// The deploy folder is not fitted to any single deployment.
+// The deploy folder must not contain files or values for a single deployment.
 #include <doctest/doctest.h>
 
 #include <filesystem>
--- a/tests/fleet_config_test.cpp
+++ b/tests/fleet_config_test.cpp
@@ -121,33 +121,35 @@
             "f.toml:3:10: fleet.listen: expected an IPv4"));
   CHECK(has(faultOf("fleet = 3\n"), "f.toml:1:9: fleet: expected a section"));
   CHECK(has(fault("peers = [\"n2=127.0.0.1:7102\", \"n2=127.0.0.1:7103\"]\n"),
-            "f.toml:4:31: fleet.peers: expected each name once, found 'n2=127.0.0.1:7103'"));
-  CHECK(has(fault("peers = [\"n2=127.0.0.1:7102\", \"n3=127.0.0.1:7102\"]\n"), "expected each address once"));
-  CHECK(has(fault("peers = [\"n1=127.0.0.1:7102\"]\n"), "f.toml:4:10: fleet.peers: expected other relays"));
-  CHECK(has(fault("peers = [\"n2=127.0.0.1:7101\"]\n"), "another address than this relay's own"));
+            "f.toml:4:31: fleet.peers: expected each name only once, found 'n2=127.0.0.1:7103'"));
+  CHECK(has(fault("peers = [\"n2=127.0.0.1:7102\", \"n3=127.0.0.1:7102\"]\n"),
+            "expected each address only once"));
+  CHECK(has(fault("peers = [\"n1=127.0.0.1:7102\"]\n"), "f.toml:4:10: fleet.peers: expected relays other"));
+  CHECK(has(fault("peers = [\"n2=127.0.0.1:7101\"]\n"), "an address other than this relay's own"));
   for (const char* bad : {"n2", "=127.0.0.1:1", "n2=127.0.0.1", "n2=host:1", "n2=127.0.0.1:0",
                           "n 2=127.0.0.1:1", "n2=127.0.0.1:70000", ""})
     CHECK(has(fault("peers = [\"" + std::string(bad) + "\"]\n"),
               "f.toml:4:10: fleet.peers: expected a relay's name"));
   CHECK(has(fault("peers = [3]\n"), "f.toml:4:10: fleet.peers: expected a relay's name"));
   CHECK(has(fault("peers = \"n2=127.0.0.1:1\"\n"), "f.toml:4:9: fleet.peers: expected a list"));
-  CHECK(has(fault("copies = 1\n"),
-            "f.toml:4:10: fleet.copies: expected no more than there are peers, found 1"));
+  CHECK(
+      has(fault("copies = 1\n"), "f.toml:4:10: fleet.copies: expected at most the number of peers, found 1"));
   CHECK(has(fault("copies = 5\n"), "f.toml:4:10: fleet.copies: expected a whole number from 0 to 4"));
   CHECK(has(fault("when_short = \"wait\"\n"),
             "f.toml:4:14: fleet.when_short: expected one of \"refuse\", \"alone\""));
-  CHECK(has(fault("copy = 1\n"), "f.toml:4:1: fleet.copy: unknown; known here: name, listen, peers, copies"));
+  CHECK(has(fault("copy = 1\n"),
+            "f.toml:4:1: fleet.copy: unknown key; valid keys: name, listen, peers, copies"));
   CHECK(has(fault("[fleet.audit]\nevery = 1\n"),
-            "f.toml:5:1: fleet.audit.every: unknown; known here: every_s"));
+            "f.toml:5:1: fleet.audit.every: unknown key; valid keys: every_s"));
   CHECK(has(faultOf(Written::manyPeers(128)), "fleet.peers: expected 127 peers at most"));
   CHECK_EQ(faultOf(Written::manyPeers(127)), "");
 }
 
 TEST_CASE("what is not built yet is refused, not read and forgotten") {
   CHECK(has(faultOf(kHead + "peers = [\"n2=127.0.0.1:7102\"]\ncopies = 1\n"),
-            "f.toml:5:10: fleet.copies: not built yet, expected 0, found 1"));
+            "f.toml:5:10: fleet.copies: not implemented yet, expected 0, found 1"));
   CHECK(has(faultOf(kHead + "[fleet.popularity]\nwarm_kb = 256\n"),
-            "f.toml:5:11: fleet.popularity.warm_kb: not built"));
+            "f.toml:5:11: fleet.popularity.warm_kb: not implemented"));
 }
 
 TEST_CASE("a fleet may take half of a relay's descriptors and memory at most, and its name must fit") {
@@ -160,7 +162,7 @@
   files.configure(R"("sockets":1024,"memory_mb":32)");
   CHECK(has(files.fault(), "more than half of limits.memory_mb"));
   files.configure(R"("sockets":1024)", "n 1");
-  CHECK(has(files.fault(), "name: 'n 1' cannot be a name in a fleet"));
+  CHECK(has(files.fault(), "name: 'n 1' is not a valid name in a fleet"));
 }
 
 TEST_CASE("SIGHUP's reading takes the peers alone, and nothing from a bad file") {
@@ -174,7 +176,7 @@
   REQUIRE(plan.peers.size() == 1);
   CHECK_EQ(plan.peers[0].name, "n9");
   files.operate(kHead + "peers = [\"n2=127.0.0.1:7102\", \"n1=127.0.0.1:7103\"]\n");
-  CHECK(has(reloadFault(live), "o.toml:4:31: fleet.peers: expected other relays than this one"));
+  CHECK(has(reloadFault(live), "o.toml:4:31: fleet.peers: expected relays other than this one"));
   CHECK_EQ(plan.peers[0].name, "n9");
   files.operate("");  // the section is gone: that counts from the next start on
   CHECK_EQ(reloadFault(live), "");
--- a/tests/fleet_processes_test.cpp
+++ b/tests/fleet_processes_test.cpp
@@ -170,7 +170,7 @@
 
   n1.writePeers({n2.listed(), "n1=127.0.0.1:1"});
   n1.program->signal(SIGHUP);
-  CHECK(fleet.says(n1, "fleet.peers: expected other relays than this one, found"));
+  CHECK(fleet.says(n1, "fleet.peers: expected relays other than this one, found"));
   CHECK_EQ(n1.count("operator.toml:4:"), 1);
   n1.program->signal(SIGUSR1);
   CHECK(fleet.says(n1, "counters fleet: peers=2 up=2"));
