--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -20,108 +20,113 @@
   const Config config = readConfig(environment);
   const OperatorFile::JournalSection& journal = config.operatorFile.journal;
   const OperatorFile::EndpointListSection& list = config.operatorFile.endpointList;
-  const std::size_t chosen = JournalPlanner().segmentBytes(config.diskBytes);
+  const std::size_t plannedSegmentBytes = JournalPlanner().segmentBytes(config.diskBytes);
   out << "name " << config.name << ", listens on " << config.listen.text << ", discovery at "
       << config.discovery.text << '\n'
       << config.classes.size() << " classes, " << config.tenants.size() << " tenants, "
-      << config.known.endpoints.size() << " endpoints known, " << config.sockets << " descriptors, "
+      << config.known.endpoints.size() << " configured endpoints, " << config.sockets << " file descriptors, "
       << config.memoryBytes << " bytes of memory, " << config.diskBytes << " bytes of disk\n"
-      << "journal: segments of " << (journal.segmentBytes ? journal.segmentBytes : chosen)
-      << " bytes, slices of " << journal.compactionStepBytes << " bytes at most, " << journal.freePercent
-      << "% to be kept free, durability " << nameOf(journal.durability) << '\n'
-      << "membership: " << (list.cache ? "kept in" : "not kept; ")
-      << (list.cache ? " at most a tenth of the disk; " : "") << "fresh for " << list.freshSeconds
-      << " s, ageing for " << list.ageingSeconds << " s, old for " << list.staleSeconds << " s; "
-      << (list.rejectByAge ? "refuses by age" : "refuses nothing") << "; guard "
+      << "journal: segments of " << (journal.segmentBytes ? journal.segmentBytes : plannedSegmentBytes)
+      << " bytes, compaction steps of at most " << journal.compactionStepBytes << " bytes, compaction below "
+      << journal.freePercent << "% free space, durability " << nameOf(journal.durability) << '\n'
+      << "membership: " << (list.cache ? "list cached in" : "list not cached; ")
+      << (list.cache ? " at most a tenth of the disk limit; " : "") << "fresh up to " << list.freshSeconds
+      << " s, ageing up to " << list.ageingSeconds << " s, old up to " << list.staleSeconds << " s; "
+      << (list.rejectByAge ? "rejects classes by age" : "rejects no class by age") << "; removal guard "
       << (list.guardPercent > 0 ? std::to_string(list.guardPercent) + "%" : "off") << "; "
-      << list.directories.size() << " directories beside the configuration's\n";
+      << list.directories.size() << " additional directories\n";
   return kExitSuccess;
 }
 
-// What the arguments ask for; set by CLI11's callbacks.
-struct Asked {
-  enum class What { kServe, kCheckConfig, kInspect, kVerify, kDump, kCompact, kShowList, kCheckList };
-  What what = What::kServe;
+// The parsed command line, which CLI11 fills in.
+struct Arguments {
+  enum class Command { kServe, kCheckConfig, kInspect, kVerify, kDump, kCompact, kShowList, kCheckList };
+  Command command = Command::kServe;
   std::string operatorFile;
-  JournalTool tool;
-  ListTool list;
+  JournalToolOptions journal;
+  ListToolOptions list;
 };
 
-void describe(CLI::App& app, Asked& asked) {
+void defineCommands(CLI::App& app, Arguments& arguments) {
   app.set_version_flag("--version", std::string("myrtleloft ") + MYRTLELOFT_VERSION);
   app.require_subcommand(0, 1);
   app.footer(
-      "Without a command, serves. Exit codes: 0 good, 1 cannot start or cannot use the folder, 2 a fault in "
-      "arguments or configuration, 3 unforeseen, 4 the journal or the kept list is damaged (journal verify, "
-      "list show, list check).");
+      "Without a command, runs the relay. Exit codes: 0 success, 1 cannot start or cannot use the folder, "
+      "2 invalid arguments or configuration, 3 internal error, 4 corrupt journal or cached endpoint list "
+      "(journal verify, list show, list check).");
 
-  const auto operatorOption = [&](CLI::App& at) {
-    at.add_option("--operator", asked.operatorFile,
-                  "the operator's file (TOML); before BALANCER_OPERATOR, default: none");
+  const auto addOperatorOption = [&](CLI::App& command) {
+    command.add_option("--operator", arguments.operatorFile,
+                       "the operator's file (TOML); overrides BALANCER_OPERATOR");
   };
-  operatorOption(app);
+  addOperatorOption(app);
 
-  CLI::App* serve = app.add_subcommand("serve", "serve until SIGTERM, as without a command");
-  operatorOption(*serve);
+  CLI::App* serve = app.add_subcommand("serve", "run the relay until SIGTERM (the default command)");
+  addOperatorOption(*serve);
 
-  CLI::App* config = app.add_subcommand("config", "look at the configuration");
+  CLI::App* config = app.add_subcommand("config", "inspect the configuration");
   config->require_subcommand(1);
-  CLI::App* check = config->add_subcommand("check", "read and check all of it, and start nothing");
-  operatorOption(*check);
-  check->callback([&asked] { asked.what = Asked::What::kCheckConfig; });
+  CLI::App* check =
+      config->add_subcommand("check", "check the whole configuration without starting the relay");
+  addOperatorOption(*check);
+  check->callback([&arguments] { arguments.command = Arguments::Command::kCheckConfig; });
 
-  CLI::App* journal = app.add_subcommand("journal", "look into the journal of a folder at rest");
+  CLI::App* journal =
+      app.add_subcommand("journal", "inspect or compact the journal of an unused state folder");
   journal->require_subcommand(1);
-  const auto tool = [&](const char* name, const char* help, Asked::What what) {
+  const auto addJournalCommand = [&](const char* name, const char* help, Arguments::Command value) {
     CLI::App* command = journal->add_subcommand(name, help);
-    command->add_option("folder", asked.tool.folder, "the state folder")->required();
-    command->add_flag("--json", asked.tool.json, "for programs: JSON, one object a line");
-    command->callback([&asked, what] { asked.what = what; });
+    command->add_option("folder", arguments.journal.folder, "the state folder")->required();
+    command->add_flag("--json", arguments.journal.json, "print JSON, one object per line");
+    command->callback([&arguments, value] { arguments.command = value; });
     return command;
   };
-  tool("inspect", "segments, what is owed, what is damaged", Asked::What::kInspect);
-  tool("verify", "read it as a start would; 4 where it is damaged", Asked::What::kVerify);
-  tool("dump", "each record, without bodies and keys", Asked::What::kDump);
-  CLI::App* list = app.add_subcommand("list", "look at the kept list of endpoints of a folder");
+  addJournalCommand("inspect", "print segments, totals and corrupt parts", Arguments::Command::kInspect);
+  addJournalCommand("verify", "read the journal as a starting relay would; exit code 4 if it is corrupt",
+                    Arguments::Command::kVerify);
+  addJournalCommand("dump", "print each record, without bodies and keys", Arguments::Command::kDump);
+  CLI::App* list = app.add_subcommand("list", "inspect the cached endpoint list of a state folder");
   list->require_subcommand(1);
-  const auto listTool = [&](const char* name, const char* help, Asked::What what) {
+  const auto addListCommand = [&](const char* name, const char* help, Arguments::Command value) {
     CLI::App* command = list->add_subcommand(name, help);
-    command->add_option("folder", asked.list.folder, "the state folder")->required();
-    command->add_flag("--json", asked.list.json, "for programs: JSON, one object a line");
-    operatorOption(*command);
-    command->callback([&asked, what] { asked.what = what; });
+    command->add_option("folder", arguments.list.folder, "the state folder")->required();
+    command->add_flag("--json", arguments.list.json, "print JSON, one object per line");
+    addOperatorOption(*command);
+    command->callback([&arguments, value] { arguments.command = value; });
   };
-  listTool("show", "each endpoint, and how old the list is", Asked::What::kShowList);
-  listTool("check", "what a start without discovery would refuse now; 4 where the list is damaged",
-           Asked::What::kCheckList);
-  CLI::App* compact =
-      tool("compact", "carry over all that is owed, and remove the rest", Asked::What::kCompact);
-  compact->add_option("--disk-mb", asked.tool.diskMb, "its limit, as limits.disk_mb in the configuration")
+  addListCommand("show", "print each endpoint and the age of the list", Arguments::Command::kShowList);
+  addListCommand("check", "show which classes a relay starting without discovery would reject now",
+                 Arguments::Command::kCheckList);
+  CLI::App* compact = addJournalCommand(
+      "compact", "rewrite all pending requests and delete all other records", Arguments::Command::kCompact);
+  compact
+      ->add_option("--disk-mb", arguments.journal.diskMb,
+                   "the disk limit in MB, as limits.disk_mb in the configuration")
       ->check(CLI::Range(0.0625, 1e7));
 }
 
-int carryOut(Asked& asked, Environment environment, std::ostream& out, std::ostream& err) {
-  if (!asked.operatorFile.empty()) environment["BALANCER_OPERATOR"] = asked.operatorFile;
-  switch (asked.what) {
-    case Asked::What::kServe:
-      blockRelaySignals();  // where it fails, the relay tries again and says so
+int runCommand(Arguments& arguments, Environment environment, std::ostream& out, std::ostream& err) {
+  if (!arguments.operatorFile.empty()) environment["BALANCER_OPERATOR"] = arguments.operatorFile;
+  switch (arguments.command) {
+    case Arguments::Command::kServe:
+      blockRelaySignals();  // if this fails, the relay tries again and logs the error
       return Relay(environment, err).run();
-    case Asked::What::kCheckConfig:
+    case Arguments::Command::kCheckConfig:
       return checkConfig(environment, out);
-    case Asked::What::kInspect:
-      return inspectJournal(asked.tool, out, err);
-    case Asked::What::kVerify:
-      return verifyJournal(asked.tool, out, err);
-    case Asked::What::kDump:
-      return dumpJournal(asked.tool, out, err);
-    case Asked::What::kCompact:
-      return compactJournal(asked.tool, out, err);
-    case Asked::What::kShowList:
-      asked.list.operatorFile = asked.operatorFile;
-      return showList(asked.list, out, err);
-    case Asked::What::kCheckList:
-      asked.list.operatorFile = asked.operatorFile;
-      return checkList(asked.list, out, err);
+    case Arguments::Command::kInspect:
+      return inspectJournal(arguments.journal, out, err);
+    case Arguments::Command::kVerify:
+      return verifyJournal(arguments.journal, out, err);
+    case Arguments::Command::kDump:
+      return dumpJournal(arguments.journal, out, err);
+    case Arguments::Command::kCompact:
+      return compactJournal(arguments.journal, out, err);
+    case Arguments::Command::kShowList:
+      arguments.list.operatorFile = arguments.operatorFile;
+      return showList(arguments.list, out, err);
+    case Arguments::Command::kCheckList:
+      arguments.list.operatorFile = arguments.operatorFile;
+      return checkList(arguments.list, out, err);
   }
   return kExitInternalError;
 }
@@ -131,16 +136,17 @@
 int runCommandLine(int argc, const char* const* argv, Environment environment, std::ostream& out,
                    std::ostream& err) {
   try {
-    CLI::App app("myrtleloft: a message relay that owes each message its end", "myrtleloft");
-    Asked asked;
-    describe(app, asked);
+    CLI::App app("myrtleloft: a message relay that gives each request exactly one final status",
+                 "myrtleloft");
+    Arguments arguments;
+    defineCommands(app, arguments);
     try {
       app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-      return app.exit(error, out, err) == 0 ? kExitSuccess
-                                            : kExitUsage;  // --help and --version come here too
+      // CLI11 also throws for --help and --version; exit() then returns 0.
+      return app.exit(error, out, err) == 0 ? kExitSuccess : kExitUsage;
     }
-    return carryOut(asked, std::move(environment), out, err);
+    return runCommand(arguments, std::move(environment), out, err);
   } catch (const ConfigError& error) {
     err << "myrtleloft: " << error.what() << '\n';
     return kExitUsage;
--- a/src/cli/journal_tool.cpp
+++ b/src/cli/journal_tool.cpp
@@ -15,69 +15,73 @@
 namespace myrtleloft {
 namespace {
 
-const char* nameOf(FinalStatus verdict) {
-  return verdict == FinalStatus::kFailed ? "dead" : verdict == FinalStatus::kReturned ? "bounced" : "none";
+// The name of a final status in the output; "none" if it is not decided yet.
+const char* nameOf(FinalStatus status) {
+  return status == FinalStatus::kFailed ? "dead" : status == FinalStatus::kReturned ? "bounced" : "none";
 }
 
-// Reads a folder that nobody else uses.
-struct Reading {
+// Locks the folder while it exists, and recovers its journal, calling `visit` for each record.
+struct JournalReading {
   PosixFiles files;
   std::unique_ptr<FolderLock> lock;
-  Recovered found;
-  std::string fault;
+  Recovered recovered;
+  std::string error;  // why the folder cannot be locked or read; empty if there was no error
 
-  explicit Reading(const JournalTool& tool, const RecordVisitor& visit = nullptr) {
+  explicit JournalReading(const JournalToolOptions& tool, const RecordVisitor& visit = nullptr) {
     LockResult locked = lockFolderIfUsed(files, tool.folder);
     if (!locked) {
-      fault = locked.error().message;
+      error = locked.error().message;
       return;
     }
     lock = std::move(*locked);
     RecoveryOptions options;
     options.visit = visit;
-    if (auto recovered = recover(files, tool.folder, options))
-      found = std::move(*recovered);
+    if (auto result = recover(files, tool.folder, options))
+      recovered = std::move(*result);
     else
-      fault = recovered.error().message;
+      error = result.error().message;
   }
 };
 
-int refuse(const std::string& fault, std::ostream& err) {
-  err << "myrtleloft: " << fault << '\n';
+int reportUnavailable(const std::string& error, std::ostream& err) {
+  err << "myrtleloft: " << error << '\n';
   return kExitUnavailable;
 }
 
+// Of the pending requests, `decided` have a final status, and `ambiguous` have an ambiguous attempt.
 struct Totals {
-  std::size_t owed = 0, given = 0, doubted = 0, bodies = 0, used = 0;
+  std::size_t pending = 0, decided = 0, ambiguous = 0, bodyBytes = 0, diskBytes = 0;
 };
 
-Totals totalsOf(const Recovered& found) {
-  Totals t;
-  for (const RecoveredRequest& request : found.pending) {
-    ++t.owed;
-    t.given += request.pending.status != FinalStatus::kUndecided;
-    t.doubted += !request.pending.ambiguousAttempts.empty();
-    t.bodies += request.pending.body.size();
+Totals totalsOf(const Recovered& recovered) {
+  Totals totals;
+  for (const RecoveredRequest& request : recovered.pending) {
+    ++totals.pending;
+    totals.decided += request.pending.status != FinalStatus::kUndecided;
+    totals.ambiguous += !request.pending.ambiguousAttempts.empty();
+    totals.bodyBytes += request.pending.body.size();
   }
-  for (const SegmentSeen& segment : found.segments) t.used += inBlocks(segment.fileBytes);
-  for (const FileSeen& other : found.others) t.used += inBlocks(other.bytes);
-  return t;
+  for (const SegmentSeen& segment : recovered.segments) totals.diskBytes += inBlocks(segment.fileBytes);
+  for (const FileSeen& other : recovered.others) totals.diskBytes += inBlocks(other.bytes);
+  return totals;
 }
 
-void tellDamage(const JournalTool& tool, const Recovered& found, std::ostream& out) {
-  for (const Corruption& d : found.corruptions) {
-    if (tool.json)
-      out << jsonLine({{"damage", d.what}, {"file", d.file}, {"offset", d.offset}, {"bytes", d.bytes}})
+void printCorruptions(const JournalToolOptions& options, const Recovered& recovered, std::ostream& out) {
+  for (const Corruption& part : recovered.corruptions) {
+    if (options.json)
+      out << jsonLine(
+                 {{"damage", part.what}, {"file", part.file}, {"offset", part.offset}, {"bytes", part.bytes}})
           << '\n';
     else
-      out << d.file << " is " << d.what << " at byte " << d.offset << ", " << d.bytes << " bytes\n";
+      out << part.file << " is " << part.what << " at byte " << part.offset << ", " << part.bytes
+          << " bytes\n";
   }
 }
 
-// One record as a line.
-class Describe {
+// A visitor that sets the members of a JSON object from a record, without bodies and idempotency keys.
+class RecordDescriber {
  public:
-  explicit Describe(Json& json) : json_(json) {}
+  explicit RecordDescriber(Json& json) : json_(json) {}
   void operator()(const AcceptedRecord& r) const {
     json_["type"] = "taken";
     json_["id"] = r.pending.id;
@@ -94,22 +98,22 @@
     json_["body_bytes"] = r.pending.body.size();
   }
   void operator()(const AttemptRecord& r) const {
-    named("attempt", r.id);
+    setTypeAndId("attempt", r.id);
     json_["attempt"] = r.attempt.attempt;
     json_["endpoint"] = r.attempt.endpoint;
     json_["zone"] = r.attempt.zone;
     json_["sent_ms"] = r.attempt.sentWallMs;
   }
   void operator()(const NotExecutedRecord& r) const {
-    named("harmless", r.id);
+    setTypeAndId("harmless", r.id);
     json_["attempt"] = r.attempt;
   }
   void operator()(const FinalStatusRecord& r) const {
-    named("verdict", r.id);
+    setTypeAndId("verdict", r.id);
     json_["verdict"] = nameOf(r.status);
     json_["wait_ms"] = r.retryAfterMs;
   }
-  void operator()(const CompletedRecord& r) const { named("ended", r.id); }
+  void operator()(const CompletedRecord& r) const { setTypeAndId("ended", r.id); }
   void operator()(const SegmentsDeletedRecord& r) const {
     json_["type"] = "released";
     json_["first_segment"] = r.firstSegment;
@@ -131,7 +135,7 @@
   }
 
  private:
-  void named(const char* type, const std::string& id) const {
+  void setTypeAndId(const char* type, const std::string& id) const {
     json_["type"] = type;
     json_["id"] = id;
   }
@@ -140,104 +144,103 @@
 
 }  // namespace
 
-int inspectJournal(const JournalTool& tool, std::ostream& out, std::ostream& err) {
-  const Reading reading(tool);
-  if (!reading.fault.empty()) return refuse(reading.fault, err);
-  const Recovered& found = reading.found;
-  for (const SegmentSeen& s : found.segments) {
-    const Json json = {{"segment", segmentName(s.sequence)},
-                       {"created_ms", s.createdWallMs},
-                       {"bytes", s.fileBytes},
-                       {"valid", s.validBytes},
-                       {"records", s.records},
-                       {"state", s.stale        ? "released"
-                                 : s.headerGood ? "good"
-                                                : "header damaged"}};
-    out << lineOf(json, tool.json) << '\n';
+int inspectJournal(const JournalToolOptions& options, std::ostream& out, std::ostream& err) {
+  const JournalReading reading(options);
+  if (!reading.error.empty()) return reportUnavailable(reading.error, err);
+  const Recovered& recovered = reading.recovered;
+  for (const SegmentSeen& segment : recovered.segments) {
+    const Json json = {{"segment", segmentName(segment.sequence)},
+                       {"created_ms", segment.createdWallMs},
+                       {"bytes", segment.fileBytes},
+                       {"valid", segment.validBytes},
+                       {"records", segment.records},
+                       {"state", segment.stale        ? "released"
+                                 : segment.headerGood ? "good"
+                                                      : "header damaged"}};
+    out << lineOf(json, options.json) << '\n';
   }
-  tellDamage(tool, found, out);
-  const Totals t = totalsOf(found);
-  const Json json = {{"owed", t.owed},
-                     {"given_up", t.given},
-                     {"in_doubt", t.doubted},
-                     {"body_bytes", t.bodies},
-                     {"disk_bytes", t.used},
-                     {"records", found.records},
-                     {"torn_bytes", found.torn},
-                     {"damaged_parts", found.corruptions.size()},
-                     {"version_one", found.versionOne}};
-  out << lineOf(json, tool.json) << '\n';
+  printCorruptions(options, recovered, out);
+  const Totals totals = totalsOf(recovered);
+  const Json json = {{"owed", totals.pending},
+                     {"given_up", totals.decided},
+                     {"in_doubt", totals.ambiguous},
+                     {"body_bytes", totals.bodyBytes},
+                     {"disk_bytes", totals.diskBytes},
+                     {"records", recovered.records},
+                     {"torn_bytes", recovered.torn},
+                     {"damaged_parts", recovered.corruptions.size()},
+                     {"version_one", recovered.versionOne}};
+  out << lineOf(json, options.json) << '\n';
   return kExitSuccess;
 }
 
-int verifyJournal(const JournalTool& tool, std::ostream& out, std::ostream& err) {
-  const Reading reading(tool);
-  if (!reading.fault.empty()) return refuse(reading.fault, err);
-  const Recovered& found = reading.found;
-  tellDamage(tool, found, out);
-  const Json json = {{"result", found.corruptions.empty() ? "whole" : "damaged"},
-                     {"records", found.records},
-                     {"owed", found.pending.size()},
-                     {"damaged_parts", found.corruptions.size()},
-                     {"put_in_doubt", found.madeAmbiguous},
-                     {"only_names_left", found.bodiesLost},
-                     {"torn_bytes", found.torn}};
-  out << lineOf(json, tool.json) << '\n';
-  return found.corruptions.empty() ? kExitSuccess : kExitCorrupt;
+int verifyJournal(const JournalToolOptions& options, std::ostream& out, std::ostream& err) {
+  const JournalReading reading(options);
+  if (!reading.error.empty()) return reportUnavailable(reading.error, err);
+  const Recovered& recovered = reading.recovered;
+  printCorruptions(options, recovered, out);
+  const Json json = {{"result", recovered.corruptions.empty() ? "whole" : "damaged"},
+                     {"records", recovered.records},
+                     {"owed", recovered.pending.size()},
+                     {"damaged_parts", recovered.corruptions.size()},
+                     {"put_in_doubt", recovered.madeAmbiguous},
+                     {"only_names_left", recovered.bodiesLost},
+                     {"torn_bytes", recovered.torn}};
+  out << lineOf(json, options.json) << '\n';
+  return recovered.corruptions.empty() ? kExitSuccess : kExitCorrupt;
 }
 
-int dumpJournal(const JournalTool& tool, std::ostream& out, std::ostream& err) {
-  const Reading reading(
-      tool, [&](std::uint64_t segment, std::size_t offset, std::size_t bytes, const Record& record) {
+int dumpJournal(const JournalToolOptions& options, std::ostream& out, std::ostream& err) {
+  const JournalReading reading(
+      options, [&](std::uint64_t segment, std::size_t offset, std::size_t bytes, const Record& record) {
         Json json = {{"segment", segment}, {"offset", offset}, {"bytes", bytes}};
-        std::visit(Describe(json), record);
-        out << lineOf(json, tool.json) << '\n';
+        std::visit(RecordDescriber(json), record);
+        out << lineOf(json, options.json) << '\n';
       });
-  if (!reading.fault.empty()) return refuse(reading.fault, err);
-  tellDamage(tool, reading.found, out);
+  if (!reading.error.empty()) return reportUnavailable(reading.error, err);
+  printCorruptions(options, reading.recovered, out);
   return kExitSuccess;
 }
 
-int compactJournal(const JournalTool& tool, std::ostream& out, std::ostream& err) {
-  std::size_t used = 0;
-  NameTable meanings;
+int compactJournal(const JournalToolOptions& tool, std::ostream& out, std::ostream& err) {
+  std::size_t bytesBefore = 0;
+  NameTable names;
   {
-    const Reading before(tool);
-    if (!before.fault.empty()) return refuse(before.fault, err);
-    used = totalsOf(before.found).used;
-    // Written anew under one set of names, what was recorded under another would change its meaning.
-    const bool unnamed = std::any_of(before.found.segments.begin(), before.found.segments.end(),
+    const JournalReading before(tool);
+    if (!before.error.empty()) return reportUnavailable(before.error, err);
+    bytesBefore = totalsOf(before.recovered).diskBytes;
+    // All records are rewritten under one name table. Indexes recorded under another would change meaning.
+    const bool unnamed = std::any_of(before.recovered.segments.begin(), before.recovered.segments.end(),
                                      [](const SegmentSeen& s) { return !s.named && s.records > 0; });
-    if (before.found.nameTables.size() + unnamed > 1)
-      return refuse(
-          "records of more than one configuration: only a start of the relay can bring them together", err);
-    if (!before.found.nameTables.empty()) meanings = before.found.nameTables.front();
+    if (before.recovered.nameTables.size() + unnamed > 1)
+      return reportUnavailable("records of more than one configuration; only a relay can convert them", err);
+    if (!before.recovered.nameTables.empty()) names = before.recovered.nameTables.front();
   }
   PosixFiles files;
   const Clock clock;
   JournalOptions options;
   options.folder = tool.folder;
   options.diskBytes = tool.diskMb > 0 ? static_cast<std::size_t>(tool.diskMb * 1e6)
-                                      : std::max<std::size_t>(1000000, 2 * used);
-  // Everything but the newest segment goes, however little there is to win.
+                                      : std::max<std::size_t>(1000000, 2 * bytesBefore);
+  // Compacts until only the newest segment is left, even if this frees little space.
   options.tuning.freeShare = 1;
   options.tuning.mostSegments = 1;
   options.owner = "pid " + std::to_string(::getpid()) + ", myrtleloft journal compact";
   std::random_device random;
   options.salt = std::uint64_t{random()} << 32 | random();
-  options.names = meanings;
+  options.names = names;
   Journal journal({files, clock, err}, options);
   Result<Recovered, JournalError> opened = journal.open();
-  if (!opened) return refuse(opened.error().message, err);
-  Recovered& found = *opened;
-  for (RecoveredRequest& request : found.pending) journal.attach(request.pending);
-  const std::uint64_t last = journal.newestSegment();
-  while (journal.oldestSegment() < last) {
-    if (!journal.compactStep()) return refuse("the disk refused; what was done so far is kept", err);
+  if (!opened) return reportUnavailable(opened.error().message, err);
+  Recovered& recovered = *opened;
+  for (RecoveredRequest& request : recovered.pending) journal.attach(request.pending);
+  const std::uint64_t newest = journal.newestSegment();
+  while (journal.oldestSegment() < newest) {
+    if (!journal.compactStep()) return reportUnavailable("cannot write; completed steps are kept", err);
     if (!journal.wantsCompaction()) break;
   }
-  const Json json = {{"owed", found.pending.size()},
-                     {"bytes_before", used},
+  const Json json = {{"owed", recovered.pending.size()},
+                     {"bytes_before", bytesBefore},
                      {"bytes_after", journal.usage().used},
                      {"segments_removed", journal.statistics().deletedSegments}};
   out << lineOf(json, tool.json) << '\n';
--- a/src/cli/list_tool.cpp
+++ b/src/cli/list_tool.cpp
@@ -12,7 +12,8 @@
 namespace myrtleloft {
 namespace {
 
-constexpr std::array<std::pair<const char*, Idempotency>, 3> kRules = {
+// The output keys for classes that the operator's file does not name, by their idempotency.
+constexpr std::array<std::pair<const char*, Idempotency>, 3> kIdempotencyKeys = {
     {{"once", Idempotency::kNonIdempotent},
      {"by_key", Idempotency::kIdempotentWithKey},
      {"repeatable", Idempotency::kIdempotent}}};
@@ -22,47 +23,49 @@
   return {clock.wallMs(), clock.machineMs(), clock.machineRun()};
 }
 
-// What there is to say of the list as a whole.
-struct Looked {
-  CachedList found;
+// The cached list, its age, and the exit code for its state. Faults are printed to `err`.
+struct ListInspection {
+  CachedList cached;
   ListAge age;
-  Freshness trust = Freshness::kExpired;
-  FreshnessPolicy rules;
-  int code = kExitSuccess;
+  Freshness freshness = Freshness::kExpired;
+  FreshnessPolicy policy;
+  int exitCode = kExitSuccess;
 
-  Looked(const ListTool& tool, std::ostream& err)
-      : rules(
-            freshnessTuning((tool.operatorFile.empty() ? OperatorFile() : readOperatorFile(tool.operatorFile))
-                                .endpointList)) {
+  ListInspection(const ListToolOptions& options, std::ostream& err)
+      : policy(freshnessTuning(
+            (options.operatorFile.empty() ? OperatorFile() : readOperatorFile(options.operatorFile))
+                .endpointList)) {
     PosixFiles files;
-    found = readCachedList(files, tool.folder, nullptr);
-    if (found.fault) {
-      err << "myrtleloft: the list in " << tool.folder << ": " << describe(*found.fault) << '\n';
-      code = kExitCorrupt;
-    } else if (!found.usable) {
-      err << "myrtleloft: there is no kept list in " << tool.folder << '\n';
-      code = kExitUnavailable;
+    cached = readCachedList(files, options.folder, nullptr);
+    if (cached.fault) {
+      err << "myrtleloft: cached endpoint list in " << options.folder << ": " << describe(*cached.fault)
+          << '\n';
+      exitCode = kExitCorrupt;
+    } else if (!cached.usable) {
+      err << "myrtleloft: no cached endpoint list in " << options.folder << '\n';
+      exitCode = kExitUnavailable;
     }
-    age = ageOf(found.confirmedAt, now());
-    trust = rules.freshnessOf(age, found.complete);
+    age = ageOf(cached.confirmedAt, now());
+    freshness = policy.freshnessOf(age, cached.complete);
   }
   Json summary() const {
     std::size_t draining = 0, missing = 0;
-    for (const EndpointRecord& e : found.list.endpoints) {
-      draining += e.info.state == EndpointState::kDraining;
-      missing += e.missing;
+    for (const EndpointRecord& endpoint : cached.list.endpoints) {
+      draining += endpoint.info.state == EndpointState::kDraining;
+      missing += endpoint.missing;
     }
-    return {{"rev", found.list.revision},
-            {"endpoints", found.list.endpoints.size()},
+    return {{"rev", cached.list.revision},
+            {"endpoints", cached.list.endpoints.size()},
             {"draining", draining},
             {"left_out", missing},
-            {"bytes", found.fileBytes},
+            {"bytes", cached.fileBytes},
             {"age_s", age.known ? Json(std::llround(age.ms / 1000)) : Json("unknown")},
-            {"trust", nameOf(trust)},
-            {"whole", found.complete}};
+            {"trust", nameOf(freshness)},
+            {"whole", cached.complete}};
   }
 };
 
+// Returns the name, or the index as text if there is no such name.
 std::string nameAt(const std::vector<std::string>& names, int index) {
   const auto at = static_cast<std::size_t>(index);
   return at < names.size() ? names[at] : std::to_string(index);
@@ -70,39 +73,41 @@
 
 }  // namespace
 
-int showList(const ListTool& tool, std::ostream& out, std::ostream& err) {
-  const Looked looked(tool, err);
-  if (!looked.found.usable) return looked.code;
-  for (const EndpointRecord& e : looked.found.list.endpoints) {
-    const bool drains = e.info.state == EndpointState::kDraining;
-    Json json = {{"uid", e.info.endpoint},
-                 {"endpoint", e.address.text},
-                 {"destination", e.info.destination},
-                 {"az", nameAt(looked.found.names.zones, e.info.zone)},
-                 {"model", nameAt(looked.found.names.kinds, e.info.kind)},
-                 {"state", drains ? "leaving" : "active"},
-                 {"told_ms", e.announcedWallMs},
-                 {"told_by", e.announcedByDelta ? "change" : "list"}};
-    if (drains) json["drains_since_ms"] = e.drainingSinceWallMs;
-    if (e.missing) json["left_out"] = true;
-    out << lineOf(json, tool.json) << '\n';
+int showList(const ListToolOptions& options, std::ostream& out, std::ostream& err) {
+  const ListInspection inspection(options, err);
+  if (!inspection.cached.usable) return inspection.exitCode;
+  for (const EndpointRecord& endpoint : inspection.cached.list.endpoints) {
+    const bool draining = endpoint.info.state == EndpointState::kDraining;
+    Json json = {{"uid", endpoint.info.endpoint},
+                 {"endpoint", endpoint.address.text},
+                 {"destination", endpoint.info.destination},
+                 {"az", nameAt(inspection.cached.names.zones, endpoint.info.zone)},
+                 {"model", nameAt(inspection.cached.names.kinds, endpoint.info.kind)},
+                 {"state", draining ? "leaving" : "active"},
+                 {"told_ms", endpoint.announcedWallMs},
+                 {"told_by", endpoint.announcedByDelta ? "change" : "list"}};
+    if (draining) json["drains_since_ms"] = endpoint.drainingSinceWallMs;
+    if (endpoint.missing) json["left_out"] = true;
+    out << lineOf(json, options.json) << '\n';
   }
-  out << lineOf(looked.summary(), tool.json) << '\n';
-  return looked.code;
+  out << lineOf(inspection.summary(), options.json) << '\n';
+  return inspection.exitCode;
 }
 
-int checkList(const ListTool& tool, std::ostream& out, std::ostream& err) {
-  const Looked looked(tool, err);
-  if (!looked.found.usable) return looked.code;
-  Json json = looked.summary();
-  for (const auto& [name, rule] : kRules)
-    json[name] = looked.rules.accepts(looked.trust, "", rule) ? "accepted" : "refused";
-  for (const FreshnessTuning::Override& o : looked.rules.tuning().classes)
-    json[o.className] =
-        looked.rules.accepts(looked.trust, o.className, Idempotency::kNonIdempotent) ? "accepted" : "refused";
-  json["come_back_ms"] = looked.rules.retryAfterMs(looked.trust);
-  out << lineOf(json, tool.json) << '\n';
-  return looked.code;
+int checkList(const ListToolOptions& options, std::ostream& out, std::ostream& err) {
+  const ListInspection inspection(options, err);
+  if (!inspection.cached.usable) return inspection.exitCode;
+  Json json = inspection.summary();
+  for (const auto& [key, idempotency] : kIdempotencyKeys)
+    json[key] = inspection.policy.accepts(inspection.freshness, "", idempotency) ? "accepted" : "refused";
+  for (const FreshnessTuning::Override& entry : inspection.policy.tuning().classes)
+    json[entry.className] =
+        inspection.policy.accepts(inspection.freshness, entry.className, Idempotency::kNonIdempotent)
+            ? "accepted"
+            : "refused";
+  json["come_back_ms"] = inspection.policy.retryAfterMs(inspection.freshness);
+  out << lineOf(json, options.json) << '\n';
+  return inspection.exitCode;
 }
 
 }  // namespace myrtleloft
--- a/src/cli/list_tool.h
+++ b/src/cli/list_tool.h
@@ -1,5 +1,6 @@
-// Commands that look at the kept list of endpoints in a state folder. They change nothing, and may run beside
-// the relay that writes it: its file is replaced whole, and what is appended counts from its commit on.
+// The commands `list show` and `list check`, which inspect the cached endpoint list of a state folder. They
+// change nothing, and may run while a relay writes the list: the relay replaces the file atomically, and the
+// reader ignores appended records until they are committed.
 #pragma once
 
 #include <ostream>
@@ -7,16 +8,19 @@
 
 namespace myrtleloft {
 
-struct ListTool {
+struct ListToolOptions {
   std::string folder;
-  std::string operatorFile;  // whose spans count; empty: the defaults
+  std::string
+      operatorFile;  // contains the maximum ages of the list's states; if empty, the defaults are used
   bool json = false;
 };
 
-// Each returns an exit code of command_line.h: kExitUnavailable where there is no list, kExitCorrupt where it
-// cannot be used, or not all of it. `checkList` says what a relay that starts now, without discovery, would
-// refuse.
-int showList(const ListTool& tool, std::ostream& out, std::ostream& err);
-int checkList(const ListTool& tool, std::ostream& out, std::ostream& err);
+// These functions return an exit code of command_line.h: kExitUnavailable if there is no list, kExitCorrupt
+// if it is corrupt or incomplete. Both throw ConfigError if the operator's file is invalid.
+
+// Prints each endpoint and a summary.
+int showList(const ListToolOptions& options, std::ostream& out, std::ostream& err);
+// Prints the summary, and which classes a relay that started now without discovery would accept or reject.
+int checkList(const ListToolOptions& options, std::ostream& out, std::ostream& err);
 
 }  // namespace myrtleloft
--- a/src/cli/output.h
+++ b/src/cli/output.h
@@ -1,4 +1,6 @@
-// How the commands that look into a folder print: one object a line, as JSON or as key=value.
+// Output of the commands that inspect a state folder: one object per line, as JSON or as key=value pairs.
+//
+// Thread-safe: there is no shared state.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,9 +10,10 @@
 
 using Json = nlohmann::ordered_json;
 
-// Ids are what clients sent: bytes that are no UTF-8 are shown as replacement characters.
+// Returns the object as JSON on one line. Ids are sent by clients and may contain any bytes; those that are
+// not valid UTF-8 are printed as replacement characters.
 std::string jsonLine(const Json& json);
-// "key=value ..." of an object's plain members, or its JSON.
+// Returns the object as JSON if `asJson` is set, otherwise as "key=value key=value ...".
 std::string lineOf(const Json& json, bool asJson);
 
 }  // namespace myrtleloft
