--- a/src/inbound/http_server.cpp
+++ b/src/inbound/http_server.cpp
@@ -11,7 +11,7 @@
 // byte), and the time to write an answer. kIdleMs limits the time between requests. After kLingerMs, a
 // half-closed connection is closed.
 constexpr double kRequestMs = 2000, kIdleMs = 2000, kLingerMs = 500, kExpiryIntervalMs = 100;
-constexpr std::size_t kIdleDivisor = 8;  // one in so many connections may be idle
+constexpr std::size_t kIdleDivisor = 8;  // at most one in kIdleDivisor connections may be idle
 // Minimum age before a connection is evicted: of one without any input, and of one with an incomplete request
 // or answer.
 constexpr double kNewConnectionMs = 300, kStalledMs = 250;
--- a/src/inbound/read_request.cpp
+++ b/src/inbound/read_request.cpp
@@ -59,9 +59,9 @@
   if (end == target.end())
     return target.size() < kHeadLimit ? TrailingBytes::kIncomplete : TrailingBytes::kGarbage;
   const std::string_view version = target.substr(static_cast<std::size_t>(end - target.begin()));
-  for (const std::string_view whole : {" HTTP/1.1\r\n", " HTTP/1.0\r\n"}) {
-    if (version.starts_with(whole)) return TrailingBytes::kRequest;
-    if (whole.starts_with(version)) return TrailingBytes::kIncomplete;
+  for (const std::string_view expected : {" HTTP/1.1\r\n", " HTTP/1.0\r\n"}) {
+    if (version.starts_with(expected)) return TrailingBytes::kRequest;
+    if (expected.starts_with(version)) return TrailingBytes::kIncomplete;
   }
   return TrailingBytes::kGarbage;
 }
--- a/src/quota/quota_admission.h
+++ b/src/quota/quota_admission.h
@@ -61,8 +61,8 @@
  private:
   static constexpr Amount kCall{{0, 0, 1}};
   struct Tenant {
-    int own = kNoQuota, rest = kNoQuota;
-    std::map<std::string, int, std::less<>> units;
+    int own = kNoQuota, rest = kNoQuota;  // the tenant's own node, and that for all units without a node
+    std::map<std::string, int, std::less<>> units;  // nodes by name of the unit
   };
 
   Amount amountOf(int cls) const { return {{1, worthMicro_.at(static_cast<std::size_t>(cls)), 0}}; }
--- a/src/quota/quota_tree.h
+++ b/src/quota/quota_tree.h
@@ -59,7 +59,9 @@
   // Returns std::nullopt if the amount fits at every level, and the rejection with the longest wait
   // otherwise.
   std::optional<Rejection> rejects(int leaf, const Amount& amount, double nowMs);
+  // Adds the amount to the leaf and all its ancestors, even if that exceeds a limit.
   void charge(int leaf, const Amount& amount, double nowMs);
+  // Takes back an amount that was charged at `whenMs`, as far as it is still in the windows.
   void refund(int leaf, const Amount& amount, double whenMs, double nowMs);
   // Returns what a node has used in one of its limited windows.
   Amount used(int node, std::size_t window, double nowMs);
