--- a/src/cli/journal_tool.cpp
+++ b/src/cli/journal_tool.cpp
@@ -223,9 +223,8 @@
   options.folder = tool.folder;
   options.diskBytes = tool.diskMb > 0 ? static_cast<std::size_t>(tool.diskMb * 1e6)
                                       : std::max<std::size_t>(1000000, 2 * bytesBefore);
-  // Compacts until only the newest segment is left, even if this frees little space.
-  options.tuning.freeShare = 1;
-  options.tuning.maxSegments = 1;
+  options.tuning.freeShare = 1;    // compact even if this frees little space
+  options.tuning.maxSegments = 1;  // until only the newest segment is left
   options.owner = "pid " + std::to_string(::getpid()) + ", myrtleloft journal compact";
   std::random_device random;
   options.salt = std::uint64_t{random()} << 32 | random();
