--- a/src/policy/endpoint_list_watch.h
+++ b/src/policy/endpoint_list_watch.h
@@ -19,7 +19,7 @@
   double pollAtMs() const { return pollAtMs_; }
   // Records a successful poll, which resets the backoff.
   void recordAnswer() { failures_ = 0; }
-  // Records a failed poll and schedules the next after an exponential backoff with jitter, which keeps relays
+  // Records a failed poll and schedules another after an exponential backoff with jitter, which keeps relays
   // from polling at the same time.
   void recordFailure(BatchContext& batch);
   // Emits a WatchEndpointListAction if a poll is due.
--- a/src/policy/latency_tracker.h
+++ b/src/policy/latency_tracker.h
@@ -11,22 +11,22 @@
 // Thread safety: none; the dispatcher that owns it uses it from one thread at a time.
 class LatencyTracker : public LatencyTable {
  public:
-  // Mean of the typical latencies of all endpoints in ms, kDefaultLatencyMs while none is known.
+  // Mean of the typical latencies of all endpoints in ms; kDefaultLatencyMs while no latency is known.
   double meanOrDefaultMs() const { return meanMs() > 0 ? meanMs() : kDefaultLatencyMs; }
-  // Typical latency of the endpoint in ms, above 0; the mean of all endpoints while it is not known.
+  // Typical latency of the endpoint in ms, above 0; the mean of all endpoints while its own is not known.
   double typicalMs(const Endpoint& endpoint) const {
     return endpoint.typicalLatencyMs > 0 ? endpoint.typicalLatencyMs : meanOrDefaultMs();
   }
   // Records that a call to the endpoint succeeded after `tookMs`, 0 or more.
   void record(Endpoint& endpoint, double tookMs);
-  // Whether no call to the endpoint has succeeded for kUnresponsiveLatencyFactor typical latencies while one
-  // was in flight all that time.
+  // Whether, for more than kUnresponsiveLatencyFactor typical latencies, a call to the endpoint has been in
+  // flight and none has succeeded.
   bool unresponsive(const BatchContext& batch, const Endpoint& endpoint) const;
   // Whether calls to the endpoint are likely to fail: it is unresponsive, or ejected without a success since.
   bool suspect(const BatchContext& batch, const Endpoint& endpoint) const;
 };
 
-// This function and the next are inline because they are evaluated for each endpoint at each ranking.
+// The functions from here to the end are inline because they are evaluated for each endpoint at each ranking.
 inline bool LatencyTracker::unresponsive(const BatchContext& batch, const Endpoint& endpoint) const {
   if (endpoint.calls.empty()) return false;
   const double sinceMs = std::max(endpoint.calls.begin()->second->sentMs, endpoint.lastSuccessMs);
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -53,8 +53,8 @@
 
  private:
   // Bayesian update: time without calls raises the prior odds up to kMaxPriorOdds, then the odds are
-  // multiplied by the likelihood ratio of the outcome, which is its probability in an outage over that
-  // without one.
+  // multiplied by the likelihood ratio of the outcome, which is its probability in an outage divided by its
+  // probability without an outage.
   void updateOdds(const BatchContext& batch, double likelihoodRatio);
 
   double outageOdds_ = 0;
--- a/src/policy/rate_limiter.h
+++ b/src/policy/rate_limiter.h
@@ -81,7 +81,7 @@
   double reportedLimit_ = 0;
 };
 
-// This function and those below are inline because they are evaluated for each endpoint at each ranking.
+// The functions from here to the end are inline because they are evaluated for each endpoint at each ranking.
 inline bool AdaptiveRateLimiter::sparseTraffic(const BatchContext& batch) const {
   return batch.settings.instanceCount > kRejectionHoldRelays && listedRate_ > 0 &&
          slowStartCapacityShare(batch) * batch.settings.overloadWindowMs < 1000;
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -40,7 +40,7 @@
 // Records that the attempt sent at `sentMs` to an endpoint of the zone may have been executed.
 void recordAmbiguousAttempt(const BatchContext& batch, Request& request, double sentMs, int zone);
 
-// Timeout of an attempt that starts now, in ms, 1 or more. `typicalLatencyMs` is that of its endpoint.
+// Timeout of an attempt that starts now, in ms, 1 or more. `typicalLatencyMs` belongs to its endpoint.
 double attemptTimeoutMs(const BatchContext& batch, const Request& request, double typicalLatencyMs);
 
 }  // namespace myrtleloft::policy
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -41,7 +41,7 @@
   bool freeProbe() const { return freeProbe_; }
   // Tokens that the next call needs while calls are rare, above 0. Drawn at random, 1 on average.
   double probeToken() const { return probeToken_; }
-  // Fraction of the share that may be used by the relays that saw a failure, in (0, kRampBudget].
+  // Fraction of `share` that may be used by the relays that saw a failure, in (0, kRampBudget].
   double budget(const BatchContext& batch) const;
   // Share of the capacity that all relays together may use; 1 or more when the slow start has ended.
   double share(const BatchContext& batch, std::int64_t successes) const;
@@ -57,7 +57,7 @@
   // Records a success of a call sent after the failures. Starts the slow start, or ends it at once if the
   // failures were brief and the upstream was not ejected.
   void recordRecovery(const BatchContext& batch, bool ejected);
-  // Returns to the state that waits for a success.
+  // Returns to the state in which a failure is pending and no call has succeeded since.
   void restart() { startedAtMs_ = -1; }
   // Halves the time since the start, and with it the progress of the ramp.
   void halveProgress(double nowMs);
@@ -80,7 +80,7 @@
   bool freeProbe_ = false;
 };
 
-// This function and those below are inline because they are evaluated for each endpoint at each ranking.
+// The functions from here to the end are inline because they are evaluated for each endpoint at each ranking.
 inline double SlowStart::budget(const BatchContext& batch) const {
   const double probes = kProbeBudget + kRampBudget / batch.settings.instanceCount;
   return started() ? kRampBudget : std::min(kRampBudget, probes);
--- a/src/state/latency_table.h
+++ b/src/state/latency_table.h
@@ -10,7 +10,7 @@
 
 class LatencyTable {
  public:
-  // The mean in ms as of the last `set`, 0 before the first.
+  // The mean in ms as of the last call of `set`; 0 before the first call.
   double meanMs() const { return meanMs_; }
   // Sets the typical latency of the endpoint, in ms and above 0.
   void set(Endpoint& endpoint, double typicalMs) {
--- a/src/state/request.h
+++ b/src/state/request.h
@@ -14,7 +14,7 @@
 // The requests of one ordering key, in the order accepted.
 struct OrderedQueue {
   std::deque<std::uint64_t> sequence;  // their sequence numbers
-  double pausedUntilMs = -kNever;      // no first attempt starts before then
+  double pausedUntilMs = -kNever;      // no first attempt starts before this time
 };
 
 // A request that has no final status, or whose last call is still in flight.
