--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,10 +1,11 @@
 // The relay's structured log, based on spdlog: one event per line, with a stable name, fields and a text.
 //
 //   Log log(std::cerr, {LogFormat::kLogfmt, LogLevel::kInfo, "n3"}, clock);
-//   log.write(LogLevel::kInfo, "list.initial", "discovery: list of revision 41", {{"rev", 41}});
+//   log.write(LogLevel::kInfo, "list.initial", "discovery: starting with the cached list, rev 41",
+//             {{"rev", 41}});
 //   log.writeRateLimited(nowMs, LogLevel::kError, "journal.fault", "journal: EIO", {{"file", "x"}});
 //
-//   plain    discovery: list of revision 41
+//   plain    discovery: starting with the cached list, rev 41
 //   logfmt   time=2026-12-01T09:30:00.123Z level=info relay=n3 event=list.initial rev=41 msg="discovery: ..."
 //   json     {"time":"2026-12-01T09:30:00.123Z","level":"info","relay":"n3","event":"list.initial",...}
 //
@@ -62,9 +63,9 @@
  public:
   using Fields = std::vector<LogField>;
 
-  // A log in the plain format, on the system's clock.
+  // Creates a log in the plain format that uses the system's clock.
   Log(std::ostream& out);  // NOLINT(google-explicit-constructor): a stream is a log
-  // `clock` must outlive all copies.
+  // `clock` must outlive all copies of the log.
   Log(std::ostream& out, const LogOptions& options, const Clock& clock);
 
   // Whether lines of that level are written.
