--- a/src/journal/journal_options.h
+++ b/src/journal/journal_options.h
@@ -17,8 +17,9 @@
   JournalTuning tuning;
   std::string owner;  // describes this process in the error message of a process that finds the folder locked
   std::uint64_t salt = 0;  // random number; not used if the folder already has a salt
-  // The names of the numbers in this process's records. Each segment begins with them, and the numbers of
-  // recovered requests are translated to them. If empty, numbers are not translated, as the tools require.
+  // The names of the classes, tenants and zones to which the records of this process refer by index. Each
+  // segment begins with these names, and the indexes in recovered requests are replaced by those of the same
+  // names in this table. If it is empty, indexes are not replaced, as the tools require.
   NameTable names{};
 
   std::string path(const std::string& name) const { return folder + "/" + name; }
--- a/src/journal/records.h
+++ b/src/journal/records.h
@@ -98,14 +98,15 @@
   double idempotencyWindowMs = 0;
   bool operator==(const ClassEntry&) const = default;
 };
-// The names behind the numbers in a segment, and what its classes permitted, from the settings of the process
-// that wrote it. Translated by journal/name_table.h.
+// The names of the classes, tenants and zones to which the records of a segment refer by index, and what the
+// classes permitted, from the settings of the process that wrote the segment. journal/name_table.h translates
+// the indexes.
 struct NameTable {
   std::vector<ClassEntry> classes;
   std::vector<std::string> tenants;
   std::vector<std::string> zones;
 
-  bool empty() const { return classes.empty(); }  // if empty, the numbers have no names
+  bool empty() const { return classes.empty(); }  // if empty, the names are not known
   bool operator==(const NameTable&) const = default;
 };
 // The first record of a segment. Written twice, like the header, because without it the requests of the
--- a/src/quota/quota_admission.cpp
+++ b/src/quota/quota_admission.cpp
@@ -6,10 +6,12 @@
 namespace myrtleloft {
 namespace {
 
-constexpr double kMicro = 1e6;
+constexpr double kMillion = 1e6;
 constexpr const char* kMeasureNames[kMeasures] = {"messages", "worth", "calls"};
 
-std::uint64_t microOf(double worth) { return static_cast<std::uint64_t>(std::llround(worth * kMicro)); }
+std::uint64_t millionthsOf(double weight) {
+  return static_cast<std::uint64_t>(std::llround(weight * kMillion));
+}
 
 QuotaShape shapeOf(const QuotaPlan& plan) {
   QuotaShape shape;
@@ -27,7 +29,8 @@
     };
     for (std::size_t w = 0; w < node.messages.size(); ++w)
       limit(Measure::kMessages, w, static_cast<std::uint64_t>(node.messages[w]));
-    for (std::size_t w = 0; w < node.worth.size(); ++w) limit(Measure::kWorth, w, microOf(node.worth[w]));
+    for (std::size_t w = 0; w < node.worth.size(); ++w)
+      limit(Measure::kWorth, w, millionthsOf(node.worth[w]));
     for (std::size_t w = 0; w < node.calls.size(); ++w)
       limit(Measure::kCalls, w, static_cast<std::uint64_t>(node.calls[w]));
   }
@@ -37,9 +40,9 @@
 }  // namespace
 
 QuotaAdmission::QuotaAdmission(const QuotaPlan& plan, const std::vector<std::string>& tenants,
-                               const std::vector<double>& worths, const Parts& parts)
+                               const std::vector<double>& priorityWeights, const Parts& parts)
     : parts_(parts), tree_(shapeOf(plan)), tenants_(tenants.size()) {
-  for (const double worth : worths) worthMicro_.push_back(microOf(worth));
+  for (const double weight : priorityWeights) weightMillionths_.push_back(millionthsOf(weight));
   std::vector<int> owner(plan.nodes.size(), -1);  // index of the tenant; -1 if it is not listed
   for (std::size_t i = 0; i < plan.nodes.size(); ++i) {
     const QuotaPlan::Node& node = plan.nodes[i];
--- a/src/quota/quota_admission.h
+++ b/src/quota/quota_admission.h
@@ -2,13 +2,14 @@
 // request belongs to, and checks the limits of that node and all its ancestors. QuotaTree does the
 // accounting; this class maps requests to nodes, counts rejections and logs them.
 //
-//   QuotaAdmission quotas(plan, tenants, worths, {counters, log});
+//   QuotaAdmission quotas(plan, tenants, priorityWeights, {counters, log});
 //   const int leaf = quotas.leafOf(tenant, unit);           // kNoQuota if no quota applies
 //   if (const auto waitMs = quotas.rejects(leaf, cls, nowMs)) ... rejected, retry after *waitMs
 //   quotas.chargeRequest(leaf, cls, nowMs); quotas.chargeCall(leaf, nowMs);
 //
-// An accepted request is charged in messages and worth, and each call in calls, at every level. Quotas never
-// delay or prevent calls of accepted requests; calls only count against later requests.
+// An accepted request is charged as one message and with the priority weight of its class (its worth), and
+// each call as one call, at every level. Quotas never delay or prevent calls of accepted requests; calls only
+// count against later requests.
 //
 // Without nodes, quotas are disabled and each function does nothing. To be used from one thread. The cost is
 // that of QuotaTree, plus a lookup of the unit's name.
@@ -37,10 +38,10 @@
     Log log;
   };
 
-  // `tenants` are indexed by tenant, `worths` by class. Nodes of tenants that are not listed are ignored,
-  // because such tenants have no requests.
+  // `tenants` are indexed by tenant, `priorityWeights` by class. Nodes of tenants that are not listed are
+  // ignored, because such tenants have no requests.
   QuotaAdmission(const QuotaPlan& plan, const std::vector<std::string>& tenants,
-                 const std::vector<double>& worths, const Parts& parts);
+                 const std::vector<double>& priorityWeights, const Parts& parts);
 
   bool enabled() const { return !tree_.shape().nodes.empty(); }
   // Returns the node of that unit, else the tenant's node for all other units, else the tenant's own node,
@@ -65,12 +66,13 @@
     std::map<std::string, int, std::less<>> units;  // nodes by name of the unit
   };
 
-  Amount amountOf(int cls) const { return {{1, worthMicro_.at(static_cast<std::size_t>(cls)), 0}}; }
+  // Returns what an accepted request of the class is charged.
+  Amount amountOf(int cls) const { return {{1, weightMillionths_.at(static_cast<std::size_t>(cls)), 0}}; }
 
   Parts parts_;
   QuotaTree tree_;
   std::vector<Tenant> tenants_;
-  std::vector<std::uint64_t> worthMicro_;  // by class
+  std::vector<std::uint64_t> weightMillionths_;  // priority weight of each class, in millionths
 };
 
 }  // namespace myrtleloft
--- a/src/quota/quota_plan.h
+++ b/src/quota/quota_plan.h
@@ -15,7 +15,7 @@
     std::string unit;          // the value of the unit header for this node; empty if it has no unit
     bool rest = false;         // for all requests of the tenant that no other node covers
     std::vector<std::int64_t> messages, calls;  // limits by window; 0 or missing means unlimited
-    std::vector<double> worth;                  // likewise
+    std::vector<double> worth;  // limits of the summed priority weights, by window; 0 or missing: unlimited
   };
   std::vector<std::int64_t> windowsS;
   std::string header;                 // the header that names the unit; empty if units are not used
--- a/src/quota/sliding_window.h
+++ b/src/quota/sliding_window.h
@@ -27,7 +27,8 @@
 enum class Measure { kMessages, kWorth, kCalls };
 constexpr std::size_t kMeasures = 3;
 
-// An amount of each measure: numbers of messages and calls, and worth in millionths.
+// An amount of each measure: the numbers of messages and calls, and the sum of the messages' priority weights
+// (their worth) in millionths.
 struct Amount {
   std::array<std::uint64_t, kMeasures> counts{};
 
