--- a/tests/exchange/bulk_call_test.cpp
+++ b/tests/exchange/bulk_call_test.cpp
@@ -10,7 +10,7 @@
 using namespace myrtleloft;
 using myrtleloft::testing::Site;
 
-TEST_CASE("a bulk call stays below the limit on bodies, whatever JSON makes of ids and keys") {
+TEST_CASE("the body of a bulk call stays below the limit even if JSON escapes lengthen ids and keys") {
   Site site(false, 10);
   for (int i = 0; i < 10; ++i)
     site.submit(std::string(127, '"') + std::to_string(i), 10e3, std::string(4720, 'b'));
--- a/tests/exchange/decided_once_test.cpp
+++ b/tests/exchange/decided_once_test.cpp
@@ -14,7 +14,7 @@
 // Guards against a 202 for a request that the journal has recorded as completed, so that no process delivers
 // it. The records of the requests "later-N" fail last, so that the journal's pause after a fault ends between
 // the first and the second retry of the rejections.
-TEST_CASE("process ends: whoever is answered 202 is pending in the journal") {
+TEST_CASE("when the process ends, each request answered 202 is pending in the journal") {
   int recordedUnanswered = 0;
   for (int endMs = 0; endMs <= 400; endMs += 20) {
     Site site(true);
@@ -74,9 +74,9 @@
 }  // namespace
 
 // Guards against two components that both decide a request. Covers all combinations of phase and transition.
-TEST_CASE("a step is made once, by the first part that decides") {
+TEST_CASE("each phase permits only certain transitions, and no transition takes effect twice") {
   using enum RequestPhase;
-  SUBCASE("the sync covers its record") {
+  SUBCASE("the sync covers the record of the request") {
     checkTransition([](RequestTable& table, OpenRequest& request) { return table.accept(request); },
                     {{{kAccepted, true}, {kAccepted, false}, {kRejected, false}, {kGivenUp, false}}});
   }
@@ -84,7 +84,7 @@
     checkTransition([](RequestTable& table, OpenRequest& request) { return table.reject(request); },
                     {{{kRejected, true}, {kAccepted, false}, {kRejected, false}, {kGivenUp, false}}});
   }
-  SUBCASE("the decision module gives it up") {
+  SUBCASE("the decision module gives the request up") {
     checkTransition(
         [](RequestTable& table, OpenRequest& request) { return table.giveUp(request).has_value(); },
         {{{kRejected, true}, {kGivenUp, true}, {kRejected, false}, {kGivenUp, false}}});
--- a/tests/exchange/durability_queue_test.cpp
+++ b/tests/exchange/durability_queue_test.cpp
@@ -11,7 +11,7 @@
 using namespace myrtleloft;
 using myrtleloft::testing::Site;
 
-TEST_CASE("group: a call that waits for its sync does not leave for an endpoint that drains by then") {
+TEST_CASE("group: a call is not sent if its endpoint starts draining while the call waits for its sync") {
   for (const bool drains : {false, true}) {
     Site site(true);
     site.submit("m");
@@ -27,7 +27,7 @@
   }
 }
 
-TEST_CASE("group: a call that waits for its sync does not leave a relay that drains by then") {
+TEST_CASE("group: a call is not sent if the relay starts draining while the call waits for its sync") {
   Site site(true);
   site.submit("m");
   site.advance(10);
@@ -43,8 +43,7 @@
 }
 
 TEST_CASE(
-    "group: a call that waits for its sync does not leave for an endpoint that has stated a Retry-After by "
-    "then") {
+    "group: a call is not sent if its endpoint states a Retry-After while the call waits for its sync") {
   for (const bool separateLimits : {true, false}) {
     Site site(true, 1, 4, separateLimits);
     const auto sync = [&site] {
@@ -77,8 +76,7 @@
   }
 }
 
-TEST_CASE(
-    "group: while a sync hangs, what waits for it is bounded, and after it requests are accepted again") {
+TEST_CASE("group: a bounded number of requests waits for a hanging sync, and later ones are accepted") {
   Site site(true);
   site.submit("first");
   site.advance(10);
--- a/tests/exchange/final_status_agreement_test.cpp
+++ b/tests/exchange/final_status_agreement_test.cpp
@@ -64,7 +64,7 @@
 
 // Guards against a request that one process notifies as bounced and the next one as dead. Its attempt is
 // known not executed, but neither that nor its final status could be recorded.
-TEST_CASE("a request that never ran fails, where its attempt is recorded and nothing after that can be") {
+TEST_CASE("a request known not executed is notified as dead if nothing after its attempt can be recorded") {
   SuccessiveProcesses relay;
   std::vector<lab::Hub::Id> unansweredCalls;
   relay.onCall = [&](lab::Hub::Id call) { unansweredCalls.push_back(call); };
@@ -83,8 +83,7 @@
   CHECK(relay.statuses["m"] == std::vector<std::string>{"dead", "dead"});
 }
 
-TEST_CASE(
-    "a request that never ran is bounced all the same, once the disk can be written before its deadline") {
+TEST_CASE("a request known not executed is notified as bounced if the disk recovers before its deadline") {
   SuccessiveProcesses relay;
   relay.onCall = [&](lab::Hub::Id call) { relay.answer(call, "503 Full"); };
   relay.start();
@@ -98,7 +97,7 @@
 
 // Covers all combinations of missing records: a disk fault from each operation of the first process on, for
 // one operation, three operations or permanently, with each reply of the endpoint.
-TEST_CASE("two processes tell the same of a request, whichever of its records are missing") {
+TEST_CASE("two processes notify the same final status of a request, whichever of its records are missing") {
   for (const Reply kind : kReplies) {
     for (const std::uint64_t count : {std::uint64_t{1}, std::uint64_t{3}, kPermanently}) {
       std::uint64_t from = 1;
--- a/tests/exchange/given_up_while_syncing_test.cpp
+++ b/tests/exchange/given_up_while_syncing_test.cpp
@@ -50,7 +50,7 @@
   CHECK(static_cast<std::uint64_t>(accepted) == kShortLived + 1 - givenUp);
 }
 
-TEST_CASE("group: requests given up before their sync fails leave their capacity to later ones") {
+TEST_CASE("group: requests given up before their sync fails release their capacity") {
   Site site(true, 1, 1, true, {}, [](Settings& settings) { settings.maxPendingRequests = 60; });
   submitAndGiveUp(site);
   site.syncer.work();
--- a/tests/exchange/idempotency_window_test.cpp
+++ b/tests/exchange/idempotency_window_test.cpp
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-TEST_CASE("group: a retry with a key whose sync outlasts the idempotency window does not leave") {
+TEST_CASE("group: a retry with a key is not sent if its sync outlasts the idempotency window") {
   for (const double syncMs :
        {50.0, kWindowMs - kConnectMs - 50, kWindowMs - kConnectMs + 100, 3 * kWindowMs}) {
     CAPTURE(syncMs);
@@ -83,7 +83,7 @@
   }
 }
 
-TEST_CASE("a wall clock set back by less than the downtime shows in the cached list's two clocks") {
+TEST_CASE("a wall clock set back by less than the downtime is detected from the cached list's timestamps") {
   const Stamp then{1e12, 1000, "run"};
   CHECK(wallSetBackMs(then, {1e12 + 2300, 4000, "run"}) == 700);
   CHECK(wallSetBackMs(then, {1e12 + 9000, 4000, "run"}) == 0);      // set forward
@@ -105,7 +105,7 @@
 
 // Guards against an answer that arrives at the deadline and counts as a delivery for the relay but as too
 // late for the endpoint: by then the call must have ended and the request must be completed.
-TEST_CASE("a call ends before the deadline of its request, which an answer would then not reach in time") {
+TEST_CASE("a call without an answer is ended before the deadline of its request") {
   Site site;
   IncomingRequest request;  // non-idempotent, so its call may take all the time left
   request.id = "m";
@@ -131,9 +131,7 @@
 }
 
 // The request's first record (`taken`) is written; the attempt, the sync and the completion fail.
-TEST_CASE(
-    "group: a rejection that waits for its completion to be recorded drops the send that waits for the "
-    "disk") {
+TEST_CASE("group: a rejection that waits for its completion record drops the send that waits for the disk") {
   Site site(true);
   site.files.failAt(site.files.operations() + 2, 1 << 20, EIO);
   site.submit("m");
@@ -163,7 +161,7 @@
 // The call is given up 5 ms before the request's deadline, and its endpoint answers just then. By the
 // client's clock the deadline may have passed already; the client then learns the result only from the
 // platform.
-TEST_CASE("an answer that was on its way at the deadline does not prevent the notification") {
+TEST_CASE("an answer in transit at the deadline does not prevent the notification") {
   Site site;
   site.submit("m", 100);
   site.advance(10);
--- a/tests/exchange/quota_charges_test.cpp
+++ b/tests/exchange/quota_charges_test.cpp
@@ -55,7 +55,7 @@
   CHECK((used(site) == Used{2, 2000000, 2}));
 }
 
-TEST_CASE("quotas: a request that is not accepted after all and a call that never left are refunded") {
+TEST_CASE("quotas: a request that is not accepted and a call that is not sent are refunded") {
   Site site(true, 1, 4, true, smallPlan());
   site.submit("gone");
   site.manager->onClientDisconnect("gone");
--- a/tests/exchange/request_manager_properties_test.cpp
+++ b/tests/exchange/request_manager_properties_test.cpp
@@ -141,8 +141,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "over all parts and restarts each request completes once, with no more calls than its class allows") {
+TEST_CASE("across restarts, each request completes once, with no more calls than its class permits") {
   std::size_t requests = 0;
   std::size_t calls = 0;
   std::size_t bulkCalls = 0;
--- a/tests/exchange/same_id_test.cpp
+++ b/tests/exchange/same_id_test.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 // Guards against a request that is recorded and counted twice because its id occurs twice in one batch.
-TEST_CASE("a client that disconnects and sends the same request again in the same batch has one request") {
+TEST_CASE("a request sent again in the batch in which its client disconnected is recorded and counted once") {
   for (const bool group : {false, true}) {
     CAPTURE(group);
     Site site(group, 1, 1, true, {}, [](Settings& settings) { settings.maxPendingRequests = 1; });
@@ -44,7 +44,8 @@
 }
 
 // Guards against a 202 and a call that rely on the record of an earlier request with the same id.
-TEST_CASE("group: a request sent again while the sync of its predecessor runs waits for its own") {
+TEST_CASE(
+    "group: a request sent again during the sync of its predecessor is accepted after a sync of its own") {
   Site site(true);
   site.submit("m");
   site.advance(10);
@@ -61,7 +62,7 @@
 }
 
 // Guards against a rejection or completion that is applied to a later request with the same id.
-TEST_CASE("group: a rejection that waits for the disk does not reach a later request of the same id") {
+TEST_CASE("group: a rejection that waits for the disk is not applied to a later request with the same id") {
   Site site(true);
   // Their records fail last, so that the journal's pause after a fault outlasts the first retry of the
   // rejections.
--- a/tests/exchange/stalled_turn_test.cpp
+++ b/tests/exchange/stalled_turn_test.cpp
@@ -71,7 +71,7 @@
 }  // namespace
 
 // Guards against a call that ignores a Retry-After which the poll of the same turn has reported.
-TEST_CASE("a call does not leave ahead of an answer with Retry-After that has a higher descriptor") {
+TEST_CASE("a call is not sent if the same poll reported a Retry-After on a higher descriptor") {
   TwoCalls calls;
   calls.answerFirst();
   calls.turn();
@@ -82,7 +82,7 @@
 
 // Guards against a call that ignores a Retry-After which arrived after the poll, while the process was
 // suspended.
-TEST_CASE("a call does not leave ahead of an answer that came while a reader of its turn stood still") {
+TEST_CASE("a call is not sent if a Retry-After arrived while a read handler of its turn was suspended") {
   TwoCalls calls;
   const Pipe suspending;
   calls.suspendIn(suspending, POLLIN, [&] { calls.answerFirst(); });
@@ -91,7 +91,7 @@
   CHECK(TwoCalls::readAll(calls.secondPeer).empty());
 }
 
-TEST_CASE("a call does not leave ahead of an answer that came while a writer of its turn stood still") {
+TEST_CASE("a call is not sent if a Retry-After arrived while a write handler of its turn was suspended") {
   std::optional<Pipe> suspending(std::in_place);  // its descriptors are lower than those of the calls
   TwoCalls calls;
   calls.suspendIn(*suspending, POLLOUT, [&] { calls.answerFirst(); });
@@ -101,7 +101,7 @@
 }
 
 // Guards against a call to an endpoint that drains according to an endpoint list that has arrived unread.
-TEST_CASE("a call does not leave ahead of a list that came while its turn stood still") {
+TEST_CASE("a call is not sent if a list that drains its endpoint arrived while its turn was suspended") {
   std::optional<Pipe> suspending(std::in_place);
   TwoCalls calls;
   const Pipe list;
@@ -115,7 +115,7 @@
   CHECK(TwoCalls::readAll(calls.secondPeer).empty());
 }
 
-TEST_CASE("a call that nothing forbids leaves in the turn after one that stood still") {
+TEST_CASE("a call that is still permitted is sent in the turn after a suspended one") {
   std::optional<Pipe> suspending(std::in_place);
   TwoCalls calls;
   calls.suspendIn(*suspending, POLLOUT, [] {});
@@ -126,7 +126,7 @@
 }
 
 // Guards against calls that are never sent because each turn of an overloaded process takes too long.
-TEST_CASE("a call leaves in the fourth turn at the latest, though every turn stands still") {
+TEST_CASE("a call is sent in the fourth turn even if every turn is suspended") {
   std::optional<Pipe> suspending(std::in_place);
   TwoCalls calls;
   for (int turns = 1; turns <= 4; ++turns) {
@@ -137,7 +137,8 @@
 }
 
 // Guards against a notification that is sent again although its confirmation has arrived unread.
-TEST_CASE("a confirmation that came while a turn stood still is read before the notification's time-out") {
+TEST_CASE(
+    "a confirmation that arrived while a turn was suspended is read before the notification times out") {
   lab::HandClock clock;
   Loop loop(clock);
   Counters counters;
--- a/tests/exchange/unrecorded_sends_test.cpp
+++ b/tests/exchange/unrecorded_sends_test.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("while the disk fails, a send waits, uses up no attempts, and leaves when it can be recorded") {
+TEST_CASE("while the disk fails, a send is deferred without using attempts until it can be recorded") {
   Site site;
   acceptAndDefer(site, "m");
   CHECK(site.answers == std::vector<Answer::Kind>{Answer::Kind::kAccepted});
@@ -40,7 +40,7 @@
   CHECK(site.notifications.empty());
 }
 
-TEST_CASE("a request that completes while its send is put off frees the call slot for the next") {
+TEST_CASE("a request that completes while its send is deferred frees its call slot") {
   Site site;
   acceptAndDefer(site, "m", 1000);
   site.advance(1200);  // after its deadline
@@ -55,7 +55,7 @@
 
 // Guards against a notification that is late because the deferred send was checked only after the journal's
 // pause.
-TEST_CASE("a request whose send is put off has its final status at its deadline, not at the next look") {
+TEST_CASE("a request whose send is deferred gets its final status at its deadline, not at the next retry") {
   for (const double leftMs : {600.0, 700.0, 800.0, 900.0, 1000.0, 1100.0}) {
     Site site;
     const double submittedMs = site.clock.nowMs;
@@ -66,7 +66,7 @@
   }
 }
 
-TEST_CASE("group: a client that disconnects drops its put-off send; the same id again is another request") {
+TEST_CASE("group: a disconnect drops the deferred send, and the same id sent again is a new request") {
   Site site(true);
   acceptAndDefer(site, "m");
   CHECK(site.answers.empty());  // no sync yet
