--- a/tests/relay/settings_change_test.cpp
+++ b/tests/relay/settings_change_test.cpp
@@ -1,6 +1,6 @@
 // Restarts the real relay on the same state folder with other settings: classes, tenants and zones are
 // matched by name, no request of another deployment is sent, and a request that may have been executed is
-// retried only if the settings of both starts allow it.
+// retried only if both the earlier and the current settings allow it.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -12,32 +12,31 @@
 
 using namespace myrtleloft::lab;
 
-TEST_CASE(
-    "classes renumbered: a non-idempotent request is not retried by the class that has its number now") {
+TEST_CASE("after the classes are renumbered, a non-idempotent request keeps its class and is not retried") {
   SettingsScenario scenario;
   scenario.announce({&scenario.norte});
   scenario.start(scenario.config(kSiteSettings));
   scenario.submit("once", "billing-charge");
   scenario.submit("any", "status-update");
-  scenario.until("both are in flight", [&] { return scenario.calls() == 2; });
+  scenario.until("both requests are in flight", [&] { return scenario.calls() == 2; });
   scenario.relay->kill();
   scenario.norte.release();
-  scenario.start(
-      scenario.config(reorderedClasses()));  // number 2, its class before, is now an idempotent class
-  scenario.until("the non-idempotent one is given up",
+  // The index of billing-charge, which is non-idempotent, becomes that of status-update, which is idempotent.
+  scenario.start(scenario.config(reorderedClasses()));
+  scenario.until("the non-idempotent request is given up",
                  [&] { return scenario.attemptedOrGivenUp("once", 2); });
   CHECK(scenario.callsOf("once") == 1);
   CHECK(scenario.directory.notices().count("once") == 1);
-  scenario.until("the idempotent one is retried", [&] { return scenario.attemptedOrGivenUp("any", 2); });
+  scenario.until("the idempotent request is retried", [&] { return scenario.attemptedOrGivenUp("any", 2); });
   CHECK(scenario.directory.notices().count("any") == 0);
 }
 
-TEST_CASE("requests without an attempt are sent under their own class after two changes of the settings") {
+TEST_CASE("requests without an attempt keep their class through two changes of the settings") {
   SettingsScenario scenario;
   scenario.announce({&scenario.norte});
   scenario.start(scenario.config(kSiteSettings));
   for (int i = 0; i < kCallSlots; ++i) scenario.submit("s" + std::to_string(i), "status-update");
-  scenario.until("all slots are taken", [&] { return scenario.calls() == kCallSlots; });
+  scenario.until("all call slots are in use", [&] { return scenario.calls() == kCallSlots; });
   scenario.submit("o", "caption-order");
   scenario.submit("c", "billing-charge");
   scenario.relay->kill();
@@ -50,29 +49,29 @@
   CHECK(scenario.calls() == kCallSlots);
   scenario.norte.release();
   scenario.announce({&scenario.norte});
-  scenario.start(scenario.config(settings({{std::string(kStatus) + ",", ""}})));  // only two classes are left
+  scenario.start(scenario.config(settings({{std::string(kStatus) + ",", ""}})));  // without status-update
   for (const char* id : {"o", "c"}) {
-    scenario.until("it is sent", [&] { return scenario.attemptedOrGivenUp(id, 1); });
+    scenario.until("the request is sent", [&] { return scenario.attemptedOrGivenUp(id, 1); });
     CHECK(scenario.callsOf(id) == 1);
     CHECK(scenario.directory.notices().count(id) == 0);
   }
-  scenario.until("those of the removed class are given up",
+  scenario.until("the requests of the removed class are given up",
                  [&] { return scenario.directory.notices().size() == kCallSlots; });
   CHECK(scenario.calls() == kCallSlots + 2);
 }
 
-TEST_CASE(
-    "state folder of another deployment: its requests are given up without being sent, new ones are sent") {
+TEST_CASE("requests in the state folder of another deployment are given up, and new requests are sent") {
   SettingsScenario scenario;
   scenario.announce({&scenario.norte});
   scenario.start(scenario.config(kSiteSettings));
   for (int i = 0; i < kCallSlots; ++i) scenario.submit("s" + std::to_string(i), "status-update");
-  scenario.until("all slots are taken", [&] { return scenario.calls() == kCallSlots; });
+  scenario.until("all call slots are in use", [&] { return scenario.calls() == kCallSlots; });
   scenario.submit("u", "status-update");
   scenario.submit("c", "billing-charge", "liceo-puerto");
   scenario.relay->kill();
   scenario.norte.release();
-  // The same numbers of classes, all idempotent, and of tenants: each recorded number is valid here as well.
+  // The second deployment has as many classes, all of them idempotent, and as many tenants, so that each
+  // recorded index is valid in its settings as well.
   scenario.start(scenario.config(settings({{"status-update", "scan"},
                                            {"caption-order", "index"},
                                            {"billing-charge", "mail"},
@@ -80,42 +79,44 @@
                                            {"\"once\"", "\"repeatable\""},
                                            {"univ-costa", "dinas"},
                                            {"liceo-puerto", "sir"}})));
-  scenario.until("all are given up", [&] { return scenario.directory.notices().size() == kCallSlots + 2; });
+  scenario.until("all recorded requests are given up",
+                 [&] { return scenario.directory.notices().size() == kCallSlots + 2; });
   for (const auto& [id, result] : scenario.directory.notices()) CHECK_MESSAGE(result == "dead", id);
   CHECK(scenario.calls() == kCallSlots);
   scenario.submit("n", "mail", "sir");
-  scenario.until("the new one is sent", [&] { return scenario.callsOf("n") == 1; });
+  scenario.until("the new request is sent", [&] { return scenario.callsOf("n") == 1; });
 }
 
-TEST_CASE("class made idempotent: a request that may have been executed before is not retried") {
+TEST_CASE("after its class is made idempotent, a request that may have been executed before is not retried") {
   SettingsScenario scenario;
   scenario.announce({&scenario.norte});
   scenario.start(scenario.config(kSiteSettings));
   scenario.submit("once", "billing-charge");
-  scenario.until("it is in flight", [&] { return scenario.calls() == 1; });
+  scenario.until("the request is in flight", [&] { return scenario.calls() == 1; });
   scenario.relay->kill();
   scenario.norte.release();
   scenario.start(scenario.config(settings({{"\"once\"", "\"repeatable\""}})));
-  scenario.until("it is retried or given up", [&] { return scenario.attemptedOrGivenUp("once", 2); });
+  scenario.until("the request is retried or given up",
+                 [&] { return scenario.attemptedOrGivenUp("once", 2); });
   CHECK(scenario.callsOf("once") == 1);
   CHECK(scenario.directory.notices().count("once") == 1);
   scenario.submit("new", "billing-charge");  // new requests follow the new settings
-  scenario.until("a new one is sent", [&] { return scenario.callsOf("new") == 1; });
+  scenario.until("a new request is sent", [&] { return scenario.callsOf("new") == 1; });
 }
 
-TEST_CASE("zones renumbered: a retry stays within the endpoints that remember its key") {
+TEST_CASE("after the zones are renumbered, a retry stays within the deduplication scope of its key") {
   const std::pair<std::string, std::string> zoned{R"("by_key","group":"all")", R"("by_key","group":"zone")"};
   SettingsScenario scenario;
   scenario.announce({&scenario.norte});
   scenario.start(scenario.config(settings({zoned})));
   scenario.submit("o", "caption-order");
-  scenario.until("it is in flight in norte", [&] { return scenario.norte.calls.size() == 1; });
+  scenario.until("the request is in flight in norte", [&] { return scenario.norte.calls.size() == 1; });
   scenario.relay->kill();
   scenario.norte.release();
   scenario.sur.release();
   scenario.announce({&scenario.norte, &scenario.sur});
   scenario.start(scenario.config(settings({zoned, {R"(["norte","sur"])", R"(["sur","norte"])"}})));
-  scenario.until("it is retried or given up", [&] { return scenario.attemptedOrGivenUp("o", 2); });
+  scenario.until("the request is retried or given up", [&] { return scenario.attemptedOrGivenUp("o", 2); });
   CHECK(scenario.sur.calls.empty());
   CHECK(scenario.norte.calls.size() == 2);
 }
--- a/tests/relay/settings_reload_test.cpp
+++ b/tests/relay/settings_reload_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace myrtleloft::lab;
 
-TEST_CASE("SIGHUP with other settings: discovery moves, the first changed key is logged, the settings stay") {
+TEST_CASE("SIGHUP with changed settings applies only the discovery address and logs the first changed key") {
   SettingsScenario scenario;
   Directory second(scenario.hub);
   scenario.norte.release();
@@ -19,7 +19,7 @@
   std::string changed = scenario.config(settings({{"billing-charge", "mail"}}), "\"unknown\": 1,");
   replaceAll(changed, scenario.directory.address(), second.address());
   scenario.reload(changed);
-  scenario.until("discovery has moved", [&] {
+  scenario.until("the relay polls the new discovery address", [&] {
     second.turn();
     return second.heard();
   });
@@ -27,14 +27,15 @@
   CHECK(scenario.logged("settings.classes[2].name (line 2, column "));
   CHECK(scenario.logged("has changed: needs a restart, all running settings stay in effect"));
   scenario.submit("c", "billing-charge");
-  scenario.until("the former class is sent", [&] { return scenario.callsOf("c") == 1; });
+  scenario.until("the request of the class billing-charge is sent",
+                 [&] { return scenario.callsOf("c") == 1; });
 
-  // With the former settings no restart is needed: `known` and `seed` may differ at every start.
+  // With the former settings no restart is needed: a different `known` or `seed` does not count as a change.
   const std::string before = scenario.relay->log();
   std::string withNewSeed = scenario.config(kSiteSettings, R"("known":{"rev":1,"all":true,"targets":[]},)");
   replaceAll(withNewSeed, R"("seed":"5")", R"("seed":"77")");
   scenario.reload(withNewSeed);
-  scenario.until("the file is read", [&] {
+  scenario.until("the configuration is reloaded", [&] {
     second.turn();
     return scenario.relay->log().find("discovery at " + scenario.directory.address(), before.size()) !=
            std::string::npos;
@@ -42,7 +43,7 @@
   CHECK(scenario.relay->log().find("needs a restart", before.size()) == std::string::npos);
 }
 
-TEST_CASE("SIGHUP with a faulty file: the key with line and column is logged, and nothing changes") {
+TEST_CASE("SIGHUP with a faulty file changes nothing and logs the fault with its line and column") {
   struct Fault {
     std::string from;
     std::string replacement;
@@ -69,7 +70,7 @@
     });
     scenario.submit("c" + std::to_string(fault.logText.size()), "billing-charge");
   }
-  scenario.until("all are sent", [&] { return scenario.calls() == faults.size(); });
+  scenario.until("all requests are sent", [&] { return scenario.calls() == faults.size(); });
   CHECK_FALSE(second.heard());
   CHECK_FALSE(scenario.logged("discovery at " + second.address()));
 }
--- a/tests/relay/settings_scenario.h
+++ b/tests/relay/settings_scenario.h
@@ -1,12 +1,12 @@
 // A real relay process with a client, a discovery directory and two endpoints in two zones. Its settings
-// change between two starts, or by SIGHUP. No step depends on timing: an endpoint that holds back its answer
+// change between two starts, or by SIGHUP. No step depends on timing: an endpoint that withholds its answer
 // keeps an attempt in flight, and the test sends a signal only after the endpoint has received the call.
 //
 //   SettingsScenario scenario;
 //   scenario.announce({&scenario.norte});
 //   scenario.start(scenario.config(kSiteSettings));
 //   scenario.submit("m", "billing-charge");
-//   scenario.until("it is in flight", [&] { return scenario.calls() == 1; });
+//   scenario.until("the request is in flight", [&] { return scenario.calls() == 1; });
 //   scenario.relay->kill();
 //   scenario.start(scenario.config(reorderedClasses()));
 #pragma once
@@ -34,7 +34,7 @@
                                        R"("worth":1.0,"lateWorth":0.5,"repeat":"repeatable","group":"all",)"
                                        R"("memorySpanMs":5000.0})";
 
-// Returns kSiteSettings with each pair's first text replaced by its second; the first must occur in it.
+// Returns kSiteSettings with the first text of each pair, which must occur in it, replaced by the second.
 inline std::string settings(const std::vector<std::pair<std::string, std::string>>& replacements) {
   std::string text = kSiteSettings;
   for (const auto& [from, to] : replacements) {
@@ -44,7 +44,7 @@
   return text;
 }
 
-// Returns kSiteSettings with the first class moved to the end, so that each class has another number.
+// Returns kSiteSettings with the first class moved to the end, so that each class has another index.
 inline std::string reorderedClasses() {
   return settings({{std::string(kStatus) + ",", ""}, {"}]}", std::string("},") + kStatus + "]}"}});
 }
@@ -103,7 +103,7 @@
                          "\r\nX-Timeout: 14\r\nX-Tenant-Id: " + tenant +
                          "\r\nX-Addressing: dest=7\r\nIdempotency-Key: " + id +
                          "\r\nContent-Length: 5\r\n\r\nhello");
-    until("it is answered", [&] { return !answer.empty(); });
+    until("the request is answered", [&] { return !answer.empty(); });
     hub.close(client);
     REQUIRE(answer.find(" 202 ") != std::string::npos);
   }
