--- a/tests/integration/relay_test.cpp
+++ b/tests/integration/relay_test.cpp
@@ -18,14 +18,14 @@
   for (const auto& file : fs::directory_iterator(MYRTLELOFT_EXCHANGES)) {
     if (file.path().extension() != ".txt") continue;
     CHECK_EQ(testing::play(file.path(), MYRTLELOFT_PROGRAM), "");
-    // The same to the outside where each promise waits for the disk.
+    // At the durability level `group`, the relay's messages are the same.
     CHECK_EQ(testing::play(file.path(), MYRTLELOFT_PROGRAM, {"BALANCER_OPERATOR=" MYRTLELOFT_GROUP}), "");
     ++played;
   }
   CHECK(played > 10);
 }
 
-TEST_CASE("a request reads the same however its bytes are split") {
+TEST_CASE("a request is parsed identically however its bytes are split") {
   const std::string bytes =
       "POST /a HTTP/1.1\r\nX-A:  b \r\nContent-Length: 3\r\n\r\nabcPOST /b HTTP/1.1\r\nTransfer-Encoding: "
       "chunked\r\nConnection: close\r\n\r\n2\r\nde\r\n1;x\r\nf\r\n0\r\nT: 1\r\n\r\n";
@@ -47,7 +47,7 @@
   }
 }
 
-TEST_CASE("what stands behind a request is told from the rest of a body") {
+TEST_CASE("bytes after a request are classified as another request, an incomplete one, or garbage") {
   CHECK(classifyTrailing("") == TrailingBytes::kNothing);
   const std::string line = "POST /status-update HTTP/1.1\r\n";
   for (std::size_t size = 1; size < line.size(); ++size)
@@ -60,7 +60,7 @@
   CHECK(classifyTrailing("POST /" + std::string(kHeadLimit, 'a')) == TrailingBytes::kGarbage);
 }
 
-TEST_CASE("a head that is too long is named by the line that made it so") {
+TEST_CASE("a head that is too long has the error status 414 for its request line and 431 for its headers") {
   for (const bool first : {true, false}) {
     HttpReader reader(HttpReader::Side::kRequest);
     reader.buffer() = (first ? "GET /" : "GET / HTTP/1.1\r\nX: ") + std::string(kHeadLimit, 'a');
@@ -69,7 +69,7 @@
   }
 }
 
-TEST_CASE("an answer without a length runs until its connection ends") {
+TEST_CASE("an answer without a length ends with its connection") {
   HttpReader reader(HttpReader::Side::kAnswer);
   reader.buffer() = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nab";
   CHECK(reader.advance() == HttpReader::State::kMore);
@@ -80,7 +80,7 @@
   CHECK_EQ(reader.take().body, "abc");
 }
 
-TEST_CASE("JSON is read strictly") {
+TEST_CASE("JSON is parsed strictly") {
   std::string error;
   const auto value = json::parse(R"( {"a":[1,-2.5e1,true,null,"\u00e9\ud83d\ude00\n"],"b":{}} )", error);
   REQUIRE(value);
@@ -93,8 +93,8 @@
   CHECK(error.find("duplicate name 'b'") != std::string::npos);
   CHECK_FALSE(json::parse("[1,\n 2,, 3]", error));
   CHECK(error.find("line 2, column 4") != std::string::npos);
-  CHECK_FALSE(json::parse("\"\xff\"", error));  // no UTF-8
-  // Numbers stay as they were written; the next value after a nested one goes where it belongs.
+  CHECK_FALSE(json::parse("\"\xff\"", error));  // not UTF-8
+  // Numbers keep their notation; a value after a nested one is added to the enclosing value.
   const auto order = json::parse(R"([[1.50,[]],{"x":[{}]},-0.0,12345678901234567890123])", error);
   REQUIRE(order);
   REQUIRE(order->items.size() == 4);
@@ -104,7 +104,7 @@
   CHECK_EQ(json::quote("a\"\\\n"), "\"a\\\"\\\\\\n\"");
 }
 
-TEST_CASE("an endpoint's answer means what the protocol's table says") {
+TEST_CASE("an endpoint's answer has the outcome that the protocol defines") {
   const auto outcome = [](int status, const char* name = "X", const char* value = "") {
     HttpMessage answer;
     answer.status = status;
@@ -114,7 +114,7 @@
   CHECK((outcome(200).outcome == Outcome::kSuccess && outcome(200).completed));
   CHECK((outcome(500).outcome == Outcome::kFailure && !outcome(500).completed));
   CHECK((outcome(429, "Retry-After", "0.2501").outcome == Outcome::kRejected));
-  CHECK_EQ(outcome(429, "Retry-After", "0.2501").retryAfterMs, 251);  // rounded up: no wait may end early
+  CHECK_EQ(outcome(429, "Retry-After", "0.2501").retryAfterMs, 251);  // rounded up, so that no call is early
   CHECK_EQ(outcome(429, "Retry-After", "soon").retryAfterMs, 0);
   CHECK((outcome(503).outcome == Outcome::kRejected && outcome(503).retryAfterMs == 0));
   CHECK((outcome(503, "X-Over-Slots", "1").outcome == Outcome::kNotSent));
@@ -132,47 +132,48 @@
   CHECK((ends[1].outcome == Outcome::kNotSent && ends[1].completed));
   CHECK((ends[2].outcome == Outcome::kNotSent && !ends[2].completed));
   CHECK((ends[3].outcome == Outcome::kFailure && !ends[3].completed));
-  CHECK(ends[4].outcome == Outcome::kFailure);  // not named: it may have run
+  CHECK(ends[4].outcome == Outcome::kFailure);  // missing in the answer, so it may have been executed
   CHECK_EQ(base64(std::string("a\0b\xff", 4)), "YQBi/w==");
   CHECK_EQ(base64("hello"), "aGVsbG8=");
 }
 
 TEST_CASE(
-    "a wall clock that was set while the process was away gives no request more time, and no window back") {
-  PendingRequest owed;
-  owed.deadlineWallMs = 1e12 + 5000;
-  owed.ambiguousAttempts = {{"E1", 1, 1e12 - 300, 0}, {"E1", 1, 1e12, 1}};
+    "a wall clock set back during downtime extends no lifetime beyond its limit and no idempotency window") {
+  PendingRequest pending;
+  pending.deadlineWallMs = 1e12 + 5000;
+  pending.ambiguousAttempts = {{"E1", 1, 1e12 - 300, 0}, {"E1", 1, 1e12, 1}};
   const double nowMs = 70, limitMs = 16000, dayMs = 86400000, newestMs = 1e12;
-  const RequestEvent right = requestEventOf(owed, nowMs, {1e12 + 1000, newestMs, 0}, limitMs);
+  const RequestEvent right = requestEventOf(pending, nowMs, {1e12 + 1000, newestMs, 0}, limitMs);
   CHECK_EQ(right.deadlineMs, nowMs + 4000);
   CHECK_EQ(right.ambiguousAttempts[0].sentMs, nowMs - 1300);
-  const RequestEvent back = requestEventOf(owed, nowMs, {1e12 - dayMs, newestMs, 0}, limitMs);
+  const RequestEvent back = requestEventOf(pending, nowMs, {1e12 - dayMs, newestMs, 0}, limitMs);
   CHECK_EQ(back.deadlineMs, nowMs + limitMs);
   CHECK(back.ambiguousAttempts[0].sentMs < nowMs - dayMs);
-  // However small the step: by so much a window might look open that is not.
-  const RequestEvent step = requestEventOf(owed, nowMs, {1e12 - 1, newestMs, 0}, limitMs);
+  // Even a small step could make an expired idempotency window look open.
+  const RequestEvent step = requestEventOf(pending, nowMs, {1e12 - 1, newestMs, 0}, limitMs);
   CHECK(step.ambiguousAttempts[0].sentMs < nowMs - dayMs);
   CHECK(step.ambiguousAttempts[1].sentMs < nowMs - dayMs);
   CHECK_EQ(step.deadlineMs, nowMs + 5001);
-  CHECK(requestEventOf(owed, nowMs, {1e12 + dayMs, newestMs, 0}, limitMs).deadlineMs < nowMs);
-  // What was recorded of another request shows it as well: these attempts are older than they seem.
-  const RequestEvent other = requestEventOf(owed, nowMs, {1e12 + 1000, 1e12 + 1500, 0}, limitMs);
+  CHECK(requestEventOf(pending, nowMs, {1e12 + dayMs, newestMs, 0}, limitMs).deadlineMs < nowMs);
+  // A later time recorded for another request also shows that the clock was set back, so the attempts are
+  // older than their times suggest.
+  const RequestEvent other = requestEventOf(pending, nowMs, {1e12 + 1000, 1e12 + 1500, 0}, limitMs);
   CHECK(other.ambiguousAttempts[1].sentMs < nowMs - dayMs);
-  // Known to have been set back, though nothing seems to be to come.
-  const RequestEvent known = requestEventOf(owed, nowMs, {1e12 + 1000, newestMs, 700}, limitMs);
+  // The clock is known to have been set back by 700 ms, although no recorded time is in the future.
+  const RequestEvent known = requestEventOf(pending, nowMs, {1e12 + 1000, newestMs, 700}, limitMs);
   CHECK_EQ(known.ambiguousAttempts[1].sentMs, nowMs - 1700);
   CHECK_EQ(known.deadlineMs, nowMs + 4000);
   PendingTable table;
   CHECK_EQ(newestRecordedWallMs(table), 0);
-  owed.acceptedWallMs = 1e12 - 400;
-  table.put(owed);
+  pending.acceptedWallMs = 1e12 - 400;
+  table.put(pending);
   CHECK_EQ(newestRecordedWallMs(table), 1e12);
-  owed.id = "taken only";
-  owed.acceptedWallMs = 1e12 + 1500;
-  owed.ambiguousAttempts.clear();
-  table.put(owed);
+  pending.id = "taken only";
+  pending.acceptedWallMs = 1e12 + 1500;
+  pending.ambiguousAttempts.clear();
+  table.put(pending);
   CHECK_EQ(newestRecordedWallMs(table), 1e12 + 1500);
-  owed.ambiguousAttempts = {
-      {"", RecordedAttempt::kLostZone, 0, RecordedAttempt::kLostAttempt}};  // of which nothing is known
-  CHECK(requestEventOf(owed, nowMs, {1e12, 1e12, 0}, limitMs).ambiguousAttempts[0].sentMs < nowMs - dayMs);
+  // An attempt whose record was lost.
+  pending.ambiguousAttempts = {{"", RecordedAttempt::kLostZone, 0, RecordedAttempt::kLostAttempt}};
+  CHECK(requestEventOf(pending, nowMs, {1e12, 1e12, 0}, limitMs).ambiguousAttempts[0].sentMs < nowMs - dayMs);
 }
