--- a/tests/integration/restart_ready_test.cpp
+++ b/tests/integration/restart_ready_test.cpp
@@ -133,7 +133,7 @@
       },
       kPatienceMs);
   const double took = steadyMs() - fromMs;
-  CHECK(relay.log().find(": 0 requests owed") == std::string::npos);
+  CHECK(relay.log().find(": 0 pending requests recovered") == std::string::npos);
   hub.close(asker);
   relay.kill();
   fs::remove_all(folder);
