--- a/lab/demo.cpp
+++ b/lab/demo.cpp
@@ -60,7 +60,7 @@
       say("the relay is killed");
       relay.start();
       until([&] { return relay.ready(); }, 5000);
-      say("... and is back: " + line("beginning with"));
+      say("... and is back: " + line("starting with the "));
     });
     at(0.55, [&] {
       directory_.tell({b_.entry(), d_.entry(), e_.entry(), f_.entry()});
