--- a/tests/integration/half_sent_calls_test.cpp
+++ b/tests/integration/half_sent_calls_test.cpp
@@ -16,7 +16,6 @@
 
 // More bytes than the socket buffers hold while the peer does not read.
 constexpr std::size_t kMoreThanSocketBuffers = 32 * 1024 * 1024;
-constexpr double kHalfClosedMs = 50;  // as in outbound/upstream_client_outcomes.cpp
 
 // An upstream client on a manual clock, and the listening socket of its endpoint, whose side the test plays.
 struct CallSite {
@@ -102,6 +101,8 @@
   CHECK(site.bytes.size() < body.size());
 }
 
+constexpr double kHalfClosedMs = 50;  // as in outbound/upstream_client_outcomes.cpp
+
 // The deadline of one request passes while the endpoint executes the call. The call's connection is
 // half-closed, which the endpoint detects at once, and kept for kHalfClosedMs to receive an answer in
 // transit.
