--- a/bench/popularity_bench.cpp
+++ b/bench/popularity_bench.cpp
@@ -75,12 +75,13 @@
       "| longest, bytes | registers held, most | known of the building, mean |");
   std::puts("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
   for (const int n : {30, 100, 300, 1000}) {
-    testing::DrawnFleet fleet({n, 3, 60000, 0, 0, 0, 20, 1});
+    testing::SimulatedFleet fleet({n, 3, 60000, 0, 0, 0, 20, 1});
     std::mt19937_64 random(5);
     const testing::Zipf zipf(600, 1);
     const auto run = [&](double spanMs) {
       for (const double endMs = fleet.nowMs() + spanMs; fleet.nowMs() < endMs; fleet.run(250))
-        for (int i = 0; i < 5 * n; ++i) fleet.ask(random() % static_cast<unsigned>(n), zipf.drawn(random), 1);
+        for (int i = 0; i < 5 * n; ++i)
+          fleet.recordRequest(random() % static_cast<unsigned>(n), zipf.sample(random), 1);
     };
     run(120000);
     for (auto& r : fleet.relays()) r.bytesOut = r.bytesIn = r.messagesOut = 0;
@@ -93,10 +94,10 @@
       most = std::max(most, static_cast<double>(r.bytesOut) / 60);
       in = std::max(in, static_cast<double>(r.bytesIn) / 60);
       messages += static_cast<double>(r.messagesOut) / 60;
-      longest = std::max(longest, static_cast<double>(r.mostOut));
-      registers = std::max(registers, static_cast<double>(r.counts->near().registers().size() +
-                                                          r.counts->far().registers().size()));
-      known += r.counts->of(fleet.nowMs(), 0).least / exact[r.building];
+      longest = std::max(longest, static_cast<double>(r.maxMessageBytes));
+      registers = std::max(registers, static_cast<double>(r.counts->cellRelays().registers().size() +
+                                                          r.counts->otherCells().registers().size()));
+      known += r.counts->popularityOf(fleet.nowMs(), 0).lowerBound / exact[r.region];
     }
     std::printf("| %d | %zu | %.0f | %.0f | %.0f | %.2f | %.0f | %.0f | %.2f |\n", n,
                 fleet.relays()[0].counts->cells(), sum / n, most, in, messages / n, longest, registers,
@@ -107,20 +108,21 @@
 
 // What it takes of the core: a building of one full cell, 33 idle connections or 129 learned.
 void cost() {
-  testing::DrawnFleet fleet({16, 1, 60000, 0, 0, 0, 20, 1});
+  testing::SimulatedFleet fleet({16, 1, 60000, 0, 0, 0, 20, 1});
   std::mt19937_64 random(5);
   const testing::Zipf zipf(600, 1);
   for (auto& r : fleet.relays())
-    for (std::int64_t d = 0; d < 64; ++d) r.warm.push_back({d, WarmMark::kLearned});
+    for (std::int64_t d = 0; d < 64; ++d) r.cached.push_back({d, CachedMark::kLearned});
   for (int i = 0; i < 400; ++i, fleet.run(250))
     for (std::size_t r = 0; r < 16; ++r)
-      for (int n = 0; n < 10; ++n) fleet.ask(r, zipf.drawn(random), 1);
-  BuildingCounts& counts = *fleet.relays()[0].counts;
+      for (int n = 0; n < 10; ++n) fleet.recordRequest(r, zipf.sample(random), 1);
+  RegionCounts& counts = *fleet.relays()[0].counts;
   std::vector<std::string> alive;
   for (const auto& r : fleet.relays()) alive.push_back(r.name);
   const double nowMs = fleet.nowMs();
-  const KeepView view{alive, 1, [&](std::int64_t d) { return counts.of(nowMs, d); },
-                      [&](std::int64_t d, WarmKind) { return counts.holders(d, WarmMark::kLearned, alive); }};
+  const EvictionContext view{
+      alive, 1, [&](std::int64_t d) { return counts.popularityOf(nowMs, d); },
+      [&](std::int64_t d, CacheEntryKind) { return counts.holders(d, CachedMark::kLearned, alive); }};
   const auto timed = [](const char* what, int times, const auto& run) {
     const auto from = std::chrono::steady_clock::now();
     for (int i = 0; i < times; ++i) run(i);
@@ -128,19 +130,21 @@
     std::printf("| %s | %.1f us |\n", what, took.count() / times);
   };
   std::puts("| what | takes |\n| --- | --- |");
-  for (const auto& [kind, n] : {std::pair(WarmKind::kConnection, 33), std::pair(WarmKind::kLearned, 129)}) {
-    std::vector<WarmItem> items(static_cast<std::size_t>(n));
+  for (const auto& [kind, n] :
+       {std::pair(CacheEntryKind::kConnection, 33), std::pair(CacheEntryKind::kLearned, 129)}) {
+    std::vector<CacheEntry> items(static_cast<std::size_t>(n));
     for (std::size_t i = 0; i < items.size(); ++i) {
       items[i].destination = static_cast<std::int64_t>(i);
       items[i].kind = kind;
       items[i].bytes = 1;
     }
-    const WarmBudget budget{kind == WarmKind::kLearned ? items.size() - 1 : items.size(), items.size() - 1};
-    Keeper keeper({"n0", 60000, items.size() - 1});
-    timed(kind == WarmKind::kLearned ? "one of 129 learned goes" : "one of 33 connections goes", 1000,
+    const CacheBudget budget{kind == CacheEntryKind::kLearned ? items.size() - 1 : items.size(),
+                             items.size() - 1};
+    EvictionPolicy keeper({"n0", 60000, items.size() - 1});
+    timed(kind == CacheEntryKind::kLearned ? "one of 129 learned goes" : "one of 33 connections goes", 1000,
           [&](int) { keeper.evictions(nowMs, items, budget, view); });
   }
-  timed("an ask", 100000, [&](int i) { counts.asked(nowMs + i, zipf.drawn(random), 1); });
+  timed("an ask", 100000, [&](int i) { counts.recordRequest(nowMs + i, zipf.sample(random), 1); });
   timed("a telling", 200, [&](int i) { counts.onTick({nowMs + 6000.0 * i, 1e12 + nowMs}, alive, {}); });
 }
 
--- a/bench/popularity_choices.h
+++ b/bench/popularity_choices.h
@@ -13,7 +13,7 @@
 class ByKey : public Choice {
  public:
   void called(double, int, int) override {}
-  std::vector<std::size_t> evictions(double nowMs, int relay, WarmKind, const std::vector<Warm>& warm,
+  std::vector<std::size_t> evictions(double nowMs, int relay, CacheEntryKind, const std::vector<Warm>& warm,
                                      std::size_t most) override {
     std::vector<std::size_t> order(warm.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
@@ -64,7 +64,7 @@
   double key(double nowMs, int, const Warm& w) override {
     const double perS = 40 * trace_.likelihood(static_cast<int>(w.item.destination), nowMs);
     const double load = perS * kCallMs / 1000;
-    return perS * std::pow(load / (1 + load), static_cast<double>(w.item.behind));
+    return perS * std::pow(load / (1 + load), static_cast<double>(w.item.connectionsAhead));
   }
   const Trace& trace_;
 };
@@ -85,23 +85,23 @@
  public:
   // neighbours: false: each relay by its own counts alone.
   Building(const Trace& trace, bool neighbours) : trace_(trace), neighbours_(neighbours) {
-    const double tauMs = BuildingCounts::tauOf(kIdleLifeMs + 500, 11000);
+    const double tauMs = RegionCounts::tauOf(kIdleLifeMs + 500, 11000);
     for (int i = 0; i < trace.relays; ++i) {
       Relay& r = relays_.emplace_back();
       r.name = nameOf(i);
-      r.counts = std::make_unique<BuildingCounts>(BuildingCounts::Options{
-          r.name, {1, 1}, tauMs, BuildingCounts::periodOf(tauMs), 7 + static_cast<std::uint64_t>(i)});
+      r.counts = std::make_unique<RegionCounts>(RegionCounts::Options{
+          r.name, {1, 1}, tauMs, RegionCounts::periodOf(tauMs), 7 + static_cast<std::uint64_t>(i)});
       std::vector<std::string> building;
       for (int j = 0; j < trace.relays; ++j)
         if (trace.buildingOf(j) == trace.buildingOf(i)) building.push_back(nameOf(j));
-      r.counts->building(building);
+      r.counts->setRelays(building);
       r.alive = {r.name};
-      r.links = std::make_unique<Keeper>(Keeper::Options{r.name, tauMs, trace.slots});
-      r.learned = std::make_unique<Keeper>(Keeper::Options{r.name, tauMs, trace.learned});
+      r.links = std::make_unique<EvictionPolicy>(EvictionPolicy::Options{r.name, tauMs, trace.slots});
+      r.learned = std::make_unique<EvictionPolicy>(EvictionPolicy::Options{r.name, tauMs, trace.learned});
     }
   }
   void called(double nowMs, int relay, int destination) override {
-    relays_[static_cast<std::size_t>(relay)].counts->asked(nowMs, destination, 1);
+    relays_[static_cast<std::size_t>(relay)].counts->recordRequest(nowMs, destination, 1);
   }
   void tick(double nowMs, const std::vector<std::map<int, std::uint8_t>>& marks) override {
     nowMs_ = nowMs;
@@ -115,9 +115,9 @@
       for (const std::string& name : alive)
         if (trace_.buildingOf(std::stoi(name.substr(1))) == trace_.buildingOf(static_cast<int>(i)))
           relays_[i].alive.push_back(name);
-      std::vector<WarmMark> warm;
+      std::vector<CachedMark> warm;
       for (const auto& [d, what] : marks[i]) warm.push_back({d, what});
-      for (const CountsSend& send : relays_[i].counts->onTick({nowMs, 1e12 + nowMs}, alive, warm)) {
+      for (const OutgoingCounts& send : relays_[i].counts->onTick({nowMs, 1e12 + nowMs}, alive, warm)) {
         const std::string bytes = encoded(send.message);
         bytes_ += static_cast<double>(bytes.size());
         relays_[static_cast<std::size_t>(std::stoi(send.peer.substr(1)))].counts->onCounts(
@@ -125,19 +125,19 @@
       }
     }
   }
-  std::vector<std::size_t> evictions(double nowMs, int relay, WarmKind kind, const std::vector<Warm>& warm,
-                                     std::size_t most) override {
+  std::vector<std::size_t> evictions(double nowMs, int relay, CacheEntryKind kind,
+                                     const std::vector<Warm>& warm, std::size_t most) override {
     Relay& r = relays_[static_cast<std::size_t>(relay)];
-    std::vector<WarmItem> items;
+    std::vector<CacheEntry> items;
     for (const Warm& w : warm) items.push_back(w.item);
-    const KeepView view{r.alive, static_cast<std::size_t>(trace_.buildings),
-                        [&](std::int64_t d) { return r.counts->of(nowMs, d); },
-                        [&](std::int64_t d, WarmKind k) {
-                          return r.counts->holders(
-                              d, k == WarmKind::kLearned ? WarmMark::kLearned : WarmMark::kConnection,
-                              r.alive);
-                        }};
-    if (kind == WarmKind::kLearned) return r.learned->evictions(nowMs, items, {most, 0}, view);
+    const EvictionContext view{
+        r.alive, static_cast<std::size_t>(trace_.buildings),
+        [&](std::int64_t d) { return r.counts->popularityOf(nowMs, d); },
+        [&](std::int64_t d, CacheEntryKind k) {
+          return r.counts->holders(
+              d, k == CacheEntryKind::kLearned ? CachedMark::kLearned : CachedMark::kConnection, r.alive);
+        }};
+    if (kind == CacheEntryKind::kLearned) return r.learned->evictions(nowMs, items, {most, 0}, view);
     return r.links->evictions(nowMs, items, {items.size(), most}, view);
   }
   bool hints() const override { return neighbours_; }
@@ -149,8 +149,8 @@
  private:
   struct Relay {
     std::string name;
-    std::unique_ptr<BuildingCounts> counts;
-    std::unique_ptr<Keeper> links, learned;
+    std::unique_ptr<RegionCounts> counts;
+    std::unique_ptr<EvictionPolicy> links, learned;
     std::vector<std::string> alive;
   };
   static std::string nameOf(int i) { return "n" + std::to_string(i); }
--- a/bench/popularity_world.cpp
+++ b/bench/popularity_world.cpp
@@ -79,12 +79,13 @@
   for (const auto& [destination, known] : r.learned) {
     Warm w{{}, known.lastMs, nextUse(r, destination, c.atMs, 1)};
     w.item.destination = destination;
-    w.item.kind = WarmKind::kLearned;
+    w.item.kind = CacheEntryKind::kLearned;
     w.item.bytes = 1;
-    w.item.fresh = destination == c.destination;
+    w.item.isNew = destination == c.destination;
     warm.push_back(w);
   }
-  for (const std::size_t gone : choice_.evictions(c.atMs, c.relay, WarmKind::kLearned, warm, trace_.learned))
+  for (const std::size_t gone :
+       choice_.evictions(c.atMs, c.relay, CacheEntryKind::kLearned, warm, trace_.learned))
     r.learned.erase(static_cast<int>(warm[gone].item.destination));
 }
 
@@ -138,15 +139,15 @@
       if (w.nextMs > idle[i].sinceMs + kIdleLifeMs) w.nextMs = kFar;
       w.item.destination = destination;
       w.item.bytes = 1;
-      w.item.behind = behind;
-      w.item.usualMs = kCallMs;
-      w.item.fresh = idle[i].fresh && destination == e.destination && behind == 0;
-      w.item.endpointHolds = trace_.holdsFew(destination) ? kFewConnections : 0;
+      w.item.connectionsAhead = behind;
+      w.item.typicalLatencyMs = kCallMs;
+      w.item.isNew = idle[i].fresh && destination == e.destination && behind == 0;
+      w.item.endpointConnectionLimit = trace_.holdsFew(destination) ? kFewConnections : 0;
       warm.push_back(w);
       places.emplace_back(destination, i);
     }
   std::vector<std::size_t> gone =
-      choice_.evictions(e.atMs, e.relay, WarmKind::kConnection, warm, trace_.slots);
+      choice_.evictions(e.atMs, e.relay, CacheEntryKind::kConnection, warm, trace_.slots);
   std::sort(gone.rbegin(), gone.rend());
   for (const std::size_t g : gone) {
     auto& idle = r.idle[places[g].first];
@@ -164,8 +165,8 @@
       marks.assign(relays_.size(), {});
       for (std::size_t i = 0; i < relays_.size(); ++i) {
         if (!trace_.lives(static_cast<int>(i), tickMs)) relays_[i].idle.clear();
-        for (const auto& [d, known] : relays_[i].learned) marks[i][d] |= WarmMark::kLearned;
-        for (const auto& [d, idle] : relays_[i].idle) marks[i][d] |= WarmMark::kConnection;
+        for (const auto& [d, known] : relays_[i].learned) marks[i][d] |= CachedMark::kLearned;
+        for (const auto& [d, idle] : relays_[i].idle) marks[i][d] |= CachedMark::kConnection;
       }
       choice_.tick(tickMs, marks);
     }
--- a/bench/popularity_world.h
+++ b/bench/popularity_world.h
@@ -69,9 +69,9 @@
     return clumped(at) ? usual / 2 + (rank >= 500 && rank < 520 ? 0.5 / 20 : 0) : usual;
   };
   const double perS = 40.0 * t.relays;
-  for (double at = 0; at < t.endMs; at += -std::log(1 - testing::unit(random)) * 1000 / perS) {
-    std::size_t rank = (static_cast<std::size_t>(zipf.drawn(random)) + moved(at)) % order.size();
-    if (clumped(at) && testing::unit(random) < 0.5) rank = 500 + random() % 20;
+  for (double at = 0; at < t.endMs; at += -std::log(1 - testing::uniform(random)) * 1000 / perS) {
+    std::size_t rank = (static_cast<std::size_t>(zipf.sample(random)) + moved(at)) % order.size();
+    if (clumped(at) && testing::uniform(random) < 0.5) rank = 500 + random() % 20;
     int relay = static_cast<int>(random() % static_cast<unsigned>(t.relays));
     while (!t.lives(relay, at)) relay = static_cast<int>(random() % static_cast<unsigned>(t.relays));
     t.calls.push_back({at, relay, order[rank]});
@@ -81,7 +81,7 @@
 
 // Something warm at one relay, and all that any choice may want to know of it.
 struct Warm {
-  WarmItem item;
+  CacheEntry item;
   double sinceMs = 0;  // idle since, or last called
   double nextMs = 0;   // when it would be used, by who knows the trace; far: not while it lives
 };
@@ -92,7 +92,7 @@
   virtual void called(double nowMs, int relay, int destination) = 0;
   virtual void tick(double, const std::vector<std::map<int, std::uint8_t>>&) {}
   // Indexes of `warm` that go, so that no more than `most` are left.
-  virtual std::vector<std::size_t> evictions(double nowMs, int relay, WarmKind kind,
+  virtual std::vector<std::size_t> evictions(double nowMs, int relay, CacheEntryKind kind,
                                              const std::vector<Warm>& warm, std::size_t most) = 0;
   virtual bool hints() const { return false; }
   virtual bool looksAhead() const { return false; }
--- a/src/popularity/building_counts.h
+++ b/src/popularity/building_counts.h
@@ -1,29 +1,33 @@
-// What the relays of one building are asked for, all together, as one of them knows it; and what it tells the
-// others of that. Without I/O: times and the seed are passed in.
+// Request counts of all relays of one region, as one relay knows them, and the messages in which it reports
+// them to the others. Does no I/O: times and the random seed are passed in.
 //
-//   BuildingCounts counts(options);
-//   counts.building({"n1", "n2", "n3"});              // its relays by the operator's file, this one included
-//   counts.asked(nowMs, destination, worth);          // each message offered here
-//   for (CountsSend& send : counts.onTick({steadyMs, wallMs}, alive, warm)) ...
+//   RegionCounts counts(options);
+//   counts.setRelays({"n1", "n2", "n3"});              // the region's relays, this one included
+//   counts.recordRequest(nowMs, destination, worth);   // for each request offered to this relay
+//   for (OutgoingCounts& send : counts.onTick({steadyMs, wallMs}, alive, cached)) ...
 //   counts.onCounts({steadyMs, wallMs}, message);
-//   Popularity p = counts.of(nowMs, destination);     // of a moment, for the keeper
+//   Popularity popularity = counts.popularityOf(nowMs, destination);   // input of the EvictionPolicy
 //
-// Who tells whom. A building's relays stand in cells of 16 at most: neighbours in the order of their names'
-// hashes. Once a period a relay tells one other of its cell, drawn by chance, its own counts and those of
-// three others of the cell, and one relay outside the cell the sum of its cell and those of three other
-// cells, whichever it told longest ago; with no other cell, a second one of its own. The same two messages
-// whatever the number of relays: bytes a second are flat. A cell's sum is one register too: the newest wins,
-// whoever of the cell wrote it. Only a relay that has run for a time constant and hears its cell writes one,
-// so that one that has just come back does not take what it has not heard yet for nothing.
+// Gossip. The relays of a region are divided into cells of at most 16 relays that are adjacent in the order
+// of their names' hashes. Once per period a relay sends two messages. The first goes to a random other relay
+// of its cell and carries its own counts, those of up to seven other relays of the cell and the sums of up to
+// three other cells. The second goes to a random relay of another cell and carries the sum of the sender's
+// cell and the same sums of other cells. Registers sent longest ago are forwarded first. If the region has a
+// single cell, the first message is also sent to a second relay. The number of messages does not depend on
+// the number of relays, so that the traffic of a relay stays constant. The sum of a cell is one register as
+// well: the newest is used, whichever relay of the cell wrote it. A relay reports the sum of its cell only
+// after it has run for one time constant and while it receives counts from its cell, because a relay that has
+// just restarted would report the counts it has not yet received as zero.
 //
-// Cut off: a relay that heard nothing of its building for kQuietPeriods goes by its own counts alone.
+// Isolation: a relay that has received no counts for kIsolatedAfterPeriods uses its own counts only.
 //
-// Clocks: registers are as of their writer's wall clock. One that is apart by d weighs that writer's counts
-// wrongly by e^(d / tau) at the most; ahead by more than half a time constant they are not taken, behind by
-// kForgetTaus of them they are forgotten. Own counts go by the steady clock.
+// Clocks: registers carry the wall-clock time of their writer. A clock that is off by d weights the writer's
+// counts by a factor of up to e^(d / tau). Registers more than half a time constant in the future are
+// rejected; those older than kMaxAgeTaus time constants are removed. A relay's own counts use its steady
+// clock.
 //
-// Bounded: kMostCounters own counters, twice CountsView::kMostRegisters registers. One thread; a tick costs
-// O(registers x entries), the rest O(counters) at the most.
+// Memory is bounded by kMaxCounters own counters and twice CountsView::kMaxRegisters registers. Not
+// thread-safe. A tick costs O(registers x entries), all else at most O(counters).
 #pragma once
 
 #include <algorithm>
@@ -38,91 +42,99 @@
 
 namespace myrtleloft {
 
-struct Moment {
+struct ClockReading {
   double steadyMs = 0, wallMs = 0;
 };
 
-struct CountsSend {
+struct OutgoingCounts {
   std::string peer;
   CountsMessage message;
 };
 
-// How much a destination is asked for, decayed: what a keeper needs to know of it.
+// The decayed demand for a destination, as the eviction policy needs it.
 struct Popularity {
-  double callsHere = 0;        // at this relay, no more than there were
-  double callsBuilding = 0;    // at all relays of the building together, this one included; likewise
-  double least = 0, most = 0;  // worth asked for in the building lies between
-  double share = 0;            // `least` of all worth asked for in the building
-  std::size_t relays = 1;      // whose counts these are, at least this one
+  double localCalls = 0;                  // at this relay; never more than the actual number
+  double regionCalls = 0;                 // at all relays of the region; never more than the actual number
+  double lowerBound = 0, upperBound = 0;  // bounds of the worth requested in the region
+  double share = 0;                       // `lowerBound` as a share of all worth requested in the region
+  std::size_t relays = 1;                 // number of relays that the region counts cover
 };
 
-class BuildingCounts {
+class RegionCounts {
  public:
   struct Options {
-    std::string me;
+    std::string relayName;
     Incarnation incarnation;
-    double tauMs = 0;     // `tauOf`
-    double periodMs = 0;  // `periodOf`
+    double tauMs = 0;     // see tauOf
+    double periodMs = 0;  // see periodOf
     std::uint64_t seed = 0;
   };
-  static constexpr std::size_t kMostCounters = 256;
-  static constexpr double kQuietPeriods = 6;
+  static constexpr std::size_t kMaxCounters = 256;
+  static constexpr double kIsolatedAfterPeriods = 6;
 
-  // The time constant of decay, from the settings: so long that a destination that is called once while an
-  // idle connection lives is known to a third (the count of calls at a rate r has a relative error of 1 /
-  // sqrt(2 r tau)), and no shorter than the span in which a cold endpoint warms up.
+  // Returns the time constant of decay that follows from the settings. It is long enough to estimate the rate
+  // of a destination that is called once per idle timeout of a connection to within a third (a count of calls
+  // at rate r has a relative error of 1 / sqrt(2 r tau)), and not shorter than the slow start of a cold
+  // endpoint.
   static double tauOf(double connIdleMs, double coldMs);
-  // Between two tellings: a twelfth, so that counts are an eighth out of date at the most where all hear.
+  // Returns the time between two reports. At a twelfth of the time constant, counts are at most an eighth out
+  // of date while all messages arrive.
   static double periodOf(double tauMs) { return tauMs / 12; }
 
-  explicit BuildingCounts(Options options);
+  explicit RegionCounts(Options options);
 
-  // Another list keeps what is known of those that are now in the own cell.
-  void building(const std::vector<std::string>& relays);
-  void asked(double nowMs, std::int64_t destination, double worth) { own_.ask(nowMs, destination, worth); }
-  // What is to be told by now; nothing before the next period. `alive`: those that may be told, of any
-  // building; `warm`: what is held warm here, by destination.
-  std::vector<CountsSend> onTick(Moment now, const std::vector<std::string>& alive,
-                                 const std::vector<WarmMark>& warm);
-  // What of it is of another layout, cell or clock is left out.
-  void onCounts(Moment now, const CountsMessage& message);
+  // Sets the relays of the region. Counts of relays that are in this relay's cell afterwards are retained.
+  void setRelays(const std::vector<std::string>& relays);
+  void recordRequest(double nowMs, std::int64_t destination, double worth) {
+    ownCounts_.record(nowMs, destination, worth);
+  }
+  // Returns the messages due now; empty until the next period begins. `alive` lists the relays that can be
+  // reached, of any region; `cached` is what this relay has cached, by destination.
+  std::vector<OutgoingCounts> onTick(ClockReading now, const std::vector<std::string>& alive,
+                                     const std::vector<CachedMark>& cached);
+  // Merges a received message. Registers of another layout or cell, or with a clock too far off, are ignored.
+  void onCounts(ClockReading now, const CountsMessage& message);
 
-  Popularity of(double nowMs, std::int64_t destination) const;
-  // Those of `alive` that had said by the last tick that they hold that of it warm (bits of WarmMark), by
-  // name.
-  std::vector<std::string> holders(std::int64_t destination, std::uint8_t what,
+  Popularity popularityOf(double nowMs, std::int64_t destination) const;
+  // Returns the relays of `alive`, sorted by name, that had reported by the last tick that they have any of
+  // `kinds` (bits of CachedMark) cached for the destination.
+  std::vector<std::string> holders(std::int64_t destination, std::uint8_t kinds,
                                    const std::vector<std::string>& alive) const;
-  bool alone(double nowMs) const { return !(nowMs - heardMs_ <= kQuietPeriods * options_.periodMs); }
-  std::size_t cells() const { return std::max<std::size_t>(1, bounds_.size()); }
-  const CountsView& near() const { return near_; }
-  const CountsView& far() const { return far_; }
+  // Whether this relay has received no counts for kIsolatedAfterPeriods.
+  bool isIsolated(double nowMs) const {
+    return !(nowMs - lastReceivedMs_ <= kIsolatedAfterPeriods * options_.periodMs);
+  }
+  std::size_t cells() const { return std::max<std::size_t>(1, cellStarts_.size()); }
+  const CountsView& cellRelays() const { return cellRelays_; }
+  const CountsView& otherCells() const { return otherCells_; }
 
  private:
   std::size_t cellOf(std::string_view relay) const;
-  CountsRegister own(Moment now, const std::vector<WarmMark>& warm);
-  CountsRegister cell(Moment now, const CountsRegister& own);
-  // The `most` that were told longest ago, without `but`.
-  std::vector<CountsRegister> next(const CountsView& view, const CountsView::Key& but, std::size_t most);
-  void refresh(Moment now);
-  void refreshHeld();
-  bool fits(const CountsRegister& said, Moment now) const;
-  double fade(const CountsRegister& said, double wallMs) const;
-  std::string drawn(const std::vector<std::string>& of);
+  CountsRegister ownRegister(ClockReading now, const std::vector<CachedMark>& cached);
+  CountsRegister cellSum(ClockReading now, const CountsRegister& own);
+  // Returns up to `limit` registers, those sent longest ago first, without `excluded`.
+  std::vector<CountsRegister> leastRecentlySent(const CountsView& view, const CountsView::Key& excluded,
+                                                std::size_t limit);
+  void refresh(ClockReading now);
+  void refreshCachedElsewhere();
+  bool isAcceptable(const CountsRegister& update, ClockReading now) const;
+  double decayFactor(const CountsRegister& update, double wallMs) const;
+  std::string pickRandom(const std::vector<std::string>& names);
 
   Options options_;
   std::mt19937_64 random_;
-  HeavyCounts own_;
-  CountsView near_, far_;  // of the relays of the cell; of the other cells
+  HeavyHitters ownCounts_;
+  CountsView cellRelays_, otherCells_;  // one register per relay of this cell; one per other cell
   std::vector<std::string> relays_;
-  std::vector<std::uint64_t> bounds_;  // hash at which each cell begins
-  std::uint64_t layout_ = 0;
-  std::size_t mine_ = 0;
-  std::map<CountsView::Key, std::uint64_t> told_;  // in which tick
+  std::vector<std::uint64_t> cellStarts_;  // the first hash of each cell
+  std::uint64_t layout_ = 0;               // hash of the sorted names of the region's relays
+  std::size_t ownCell_ = 0;
+  std::map<CountsView::Key, std::uint64_t> lastSentTick_;
   std::uint64_t ticks_ = 0, version_ = 0;
-  double bornMs_ = -1, nextMs_ = 0, heardMs_, nearHeardMs_, lastWallMs_ = 0;
-  HeavySummary others_;  // as of `refreshedMs_`
+  double startedMs_ = -1, nextTickMs_ = 0, lastReceivedMs_, lastCellReceivedMs_, lastWallMs_ = 0;
+  HeavyHitterSummary otherCounts_;  // as of `refreshedMs_`
   double refreshedMs_ = 0;
-  tsl::robin_map<std::int64_t, std::vector<std::pair<std::string, std::uint8_t>>> held_;
+  tsl::robin_map<std::int64_t, std::vector<std::pair<std::string, std::uint8_t>>> cachedElsewhere_;
 };
 
 }  // namespace myrtleloft
--- a/src/popularity/counts_view.cpp
+++ b/src/popularity/counts_view.cpp
@@ -6,43 +6,46 @@
 namespace myrtleloft {
 namespace {
 
-// Total for what any register holds: numbers are checked to be finite where they come in.
-auto order(const CountsRegister& r) { return std::tie(r.version, r.asOfWallMs, r.counts, r.warm); }
+// A total order of the registers that occur: decoding rejects numbers that are not finite.
+auto contentOf(const CountsRegister& update) {
+  return std::tie(update.version, update.asOfWallMs, update.counts, update.cached);
+}
 
 }  // namespace
 
-bool CountsView::merge(const CountsRegister& said) {
-  const auto [at, fresh] = registers_.try_emplace(keyOf(said), said);
-  if (!fresh) {
-    if (!(order(at->second) < order(said))) return false;
-    at->second = said;
+bool CountsView::merge(const CountsRegister& update) {
+  const auto [found, inserted] = registers_.try_emplace(keyOf(update), update);
+  if (!inserted) {
+    if (!(contentOf(found->second) < contentOf(update))) return false;
+    found->second = update;
   }
-  if (registers_.size() <= kMostRegisters) return true;
-  const Key key = at->first;
-  bound();
+  if (registers_.size() <= kMaxRegisters) return true;
+  const Key key = found->first;
+  enforceLimit();
   return registers_.count(key) > 0;
 }
 
 void CountsView::merge(const CountsView& other) {
-  for (const auto& [key, said] : other.registers_) merge(said);
+  for (const auto& [key, update] : other.registers_) merge(update);
 }
 
-void CountsView::bound() {
-  while (registers_.size() > kMostRegisters)
+void CountsView::enforceLimit() {
+  while (registers_.size() > kMaxRegisters)
     registers_.erase(std::min_element(registers_.begin(), registers_.end(), [](const auto& a, const auto& b) {
       return std::tie(a.second.asOfWallMs, a.first) < std::tie(b.second.asOfWallMs, b.first);
     }));
 }
 
-void CountsView::forget(double wallMs, double tauMs) {
+void CountsView::removeExpired(double wallMs, double tauMs) {
   std::erase_if(registers_,
-                [&](const auto& r) { return wallMs - r.second.asOfWallMs > kForgetTaus * tauMs; });
+                [&](const auto& r) { return wallMs - r.second.asOfWallMs > kMaxAgeTaus * tauMs; });
 }
 
 bool operator==(const CountsView& a, const CountsView& b) {
-  return std::equal(
-      a.registers_.begin(), a.registers_.end(), b.registers_.begin(), b.registers_.end(),
-      [](const auto& x, const auto& y) { return x.first == y.first && order(x.second) == order(y.second); });
+  return std::equal(a.registers_.begin(), a.registers_.end(), b.registers_.begin(), b.registers_.end(),
+                    [](const auto& x, const auto& y) {
+                      return x.first == y.first && contentOf(x.second) == contentOf(y.second);
+                    });
 }
 
 }  // namespace myrtleloft
--- a/src/popularity/counts_view.h
+++ b/src/popularity/counts_view.h
@@ -1,17 +1,19 @@
-// What the relays of a building say they were asked for, as each of them last said it: a state-based CRDT.
+// The latest request counts reported by each relay of a region: a state-based CRDT.
 //
-// A state is a map from (relay, life, start) to what that start of that relay said with its highest version.
-// The merge of two states takes from each key the greater, by version and then by content. That is the join
-// of a semilattice, so it is commutative, associative and idempotent, and a state only ever grows by it:
-// messages that are lost, repeated, late or out of order change nothing but how soon a relay knows. Each
-// start of a relay counts from nothing under a key of its own, so what was asked for before a restart is
-// neither lost nor counted twice, and what a relay that is gone had said stays, and fades.
+// The state is a map from (relay, life, start) to the register with the highest version that this start of
+// the relay wrote. Merging two states keeps the greater register of each key, ordered by version and then by
+// content. This is the join of a semilattice, so that it is commutative, associative and idempotent, and
+// states only grow: lost, repeated, late or reordered messages only affect how soon a relay learns of an
+// update. Each start of a relay counts from zero under its own key, so that requests counted before a restart
+// are neither lost nor counted twice. The register of a relay that has left remains and decays.
 //
-// Registers are as of their writer's wall clock, which is none of the merge's business: only who reads decays
-// them. `forget` drops what has faded; it commutes with the merge. A state keeps the `kMostRegisters` newest,
-// and that too commutes with it, as a register is never older than an earlier version of it.
+// Registers carry their writer's wall-clock time. The merge ignores it; readers apply the decay.
+// removeExpired drops registers that have decayed, and commutes with the merge. A state holds the
+// kMaxRegisters newest registers; this limit commutes with the merge as well, as a register is never older
+// than an earlier version.
 //
-// No I/O, one thread. Merging one register is O(registers) at its bound, else O(log registers).
+// Does no I/O and is not thread-safe. Merging a register costs O(registers) at the limit, else O(log
+// registers).
 #pragma once
 
 #include <compare>
@@ -26,24 +28,26 @@
 
 namespace myrtleloft {
 
-// After so many time constants a count weighs under a two-thousandth.
-inline constexpr double kForgetTaus = 8;
+// Registers older than this many time constants are removed; their counts have decayed below 1/2000.
+inline constexpr double kMaxAgeTaus = 8;
 
-struct WarmMark {  // that a relay holds something warm
+// States what a relay has cached for a destination.
+struct CachedMark {
   static constexpr std::uint8_t kLearned = 1, kConnection = 2;
   std::int64_t destination = 0;
-  std::uint8_t what = 0;  // bits of the above
-  friend auto operator<=>(const WarmMark&, const WarmMark&) = default;
+  std::uint8_t kinds = 0;  // a combination of the bits above
+  friend auto operator<=>(const CachedMark&, const CachedMark&) = default;
 };
 
+// The counts of one relay, or the sum of a cell (see building_counts.h).
 struct CountsRegister {
-  std::string
-      relay;  // empty: the sum of a cell (building_counts.h); life is the layout's, start the cell's number
+  // Empty for the sum of a cell; incarnation.life is then the layout and incarnation.start the cell's number.
+  std::string relay;
   Incarnation incarnation;
-  std::uint64_t version = 0;  // by the writer; higher is newer
-  double asOfWallMs = 0;      // no less than that of its earlier versions
-  HeavySummary counts;        // as of then
-  std::vector<WarmMark> warm;
+  std::uint64_t version = 0;  // increased by the writer with each update
+  double asOfWallMs = 0;      // not less than in earlier versions
+  HeavyHitterSummary counts;  // decayed to asOfWallMs
+  std::vector<CachedMark> cached;
 };
 
 class CountsView {
@@ -54,22 +58,21 @@
     friend auto operator<=>(const Key&, const Key&) = default;
   };
   using Registers = std::map<Key, CountsRegister>;
-  static constexpr std::size_t kMostRegisters = 64;
+  static constexpr std::size_t kMaxRegisters = 64;
 
   static Key keyOf(const CountsRegister& r) { return {r.relay, r.incarnation.life, r.incarnation.start}; }
 
-  // Whether it was news.
-  bool merge(const CountsRegister& said);
+  // Returns whether the update changed the state.
+  bool merge(const CountsRegister& update);
   void merge(const CountsView& other);
-  // Those older than kForgetTaus at `wallMs`.
-  void forget(double wallMs, double tauMs);
+  // Removes the registers that are older than kMaxAgeTaus at `wallMs`.
+  void removeExpired(double wallMs, double tauMs);
   const Registers& registers() const { return registers_; }
 
-  // Whether both know the same.
   friend bool operator==(const CountsView& a, const CountsView& b);
 
  private:
-  void bound();
+  void enforceLimit();
   Registers registers_;
 };
 
--- a/src/popularity/heavy_counts.cpp
+++ b/src/popularity/heavy_counts.cpp
@@ -7,21 +7,22 @@
 namespace myrtleloft {
 namespace {
 
-// Weights grow to e^32 before the landmark follows: far from where doubles lose what is small beside it.
-constexpr double kLandmarkSpans = 32;
-constexpr double kLeastWorth = 0.01;
+// The landmark is moved when weights have grown by e^32, well before small weights are lost to rounding in
+// sums.
+constexpr double kLandmarkMaxTaus = 32;
+constexpr double kMinWorth = 0.01;
 
-bool heavier(const HeavyEntry& a, const HeavyEntry& b) {
+bool heavier(const HeavyHitter& a, const HeavyHitter& b) {
   return a.count != b.count ? a.count > b.count : a.destination < b.destination;
 }
 
-// Leaves the heaviest, and says in `floor` what those left out came to at the most.
-void keepHeaviest(HeavySummary& summary, std::size_t most) {
-  std::vector<HeavyEntry>& entries = summary.entries;
+// Keeps the `limit` heaviest entries and raises `floor` to the largest count among those removed.
+void keepHeaviest(HeavyHitterSummary& summary, std::size_t limit) {
+  std::vector<HeavyHitter>& entries = summary.entries;
   std::sort(entries.begin(), entries.end(), heavier);
-  if (entries.size() > most) {
-    summary.floor = std::max(summary.floor, entries[most].count);
-    entries.resize(most);
+  if (entries.size() > limit) {
+    summary.floor = std::max(summary.floor, entries[limit].count);
+    entries.resize(limit);
   }
   std::sort(entries.begin(), entries.end(),
             [](const auto& a, const auto& b) { return a.destination < b.destination; });
@@ -29,25 +30,25 @@
 
 }  // namespace
 
-const HeavyEntry* HeavySummary::find(std::int64_t destination) const {
-  const auto at = std::lower_bound(entries.begin(), entries.end(), destination,
-                                   [](const HeavyEntry& e, std::int64_t d) { return e.destination < d; });
-  return at != entries.end() && at->destination == destination ? &*at : nullptr;
+const HeavyHitter* HeavyHitterSummary::find(std::int64_t destination) const {
+  const auto found = std::lower_bound(entries.begin(), entries.end(), destination,
+                                      [](const HeavyHitter& e, std::int64_t d) { return e.destination < d; });
+  return found != entries.end() && found->destination == destination ? &*found : nullptr;
 }
 
-HeavySummary summed(const std::vector<Part>& parts, std::size_t most) {
-  HeavySummary sum;
-  std::map<std::int64_t, HeavyEntry> all;
+HeavyHitterSummary sumOfSummaries(const std::vector<WeightedSummary>& parts, std::size_t limit) {
+  HeavyHitterSummary sum;
+  std::map<std::int64_t, HeavyHitter> all;
   for (const auto& [summary, factor] : parts) {
     sum.floor += summary->floor * factor;
     sum.total += summary->total * factor;
-    for (const HeavyEntry& e : summary->entries) {
-      HeavyEntry& to = all[e.destination];
-      to.destination = e.destination;
-      // Its floors are added for all below; where it stands, they are taken out again.
-      to.count += (e.count - summary->floor) * factor;
-      to.error += (e.error - summary->floor) * factor;
-      to.calls += e.calls * factor;
+    for (const HeavyHitter& e : summary->entries) {
+      HeavyHitter& target = all[e.destination];
+      target.destination = e.destination;
+      // All floors are added below; the floor of a part that has an entry is subtracted here.
+      target.count += (e.count - summary->floor) * factor;
+      target.error += (e.error - summary->floor) * factor;
+      target.calls += e.calls * factor;
     }
   }
   for (auto& [destination, entry] : all) {
@@ -55,74 +56,74 @@
     entry.error = std::clamp(entry.error + sum.floor, 0.0, entry.count);
     sum.entries.push_back(entry);
   }
-  keepHeaviest(sum, most);
+  keepHeaviest(sum, limit);
   return sum;
 }
 
-HeavyCounts::HeavyCounts(double tauMs, std::size_t capacity) : tauMs_(tauMs), capacity_(capacity) {
+HeavyHitters::HeavyHitters(double tauMs, std::size_t capacity) : tauMs_(tauMs), capacity_(capacity) {
   counters_.reserve(capacity);
-  places_.reserve(capacity);
+  indexes_.reserve(capacity);
 }
 
-double HeavyCounts::scale(double nowMs) const {
+double HeavyHitters::scale(double nowMs) const {
   return std::exp(-(std::max(nowMs, lastMs_) - landmarkMs_) / tauMs_);
 }
 
-// What one without a counter may have been asked for, as of the landmark.
-double HeavyCounts::least() const {
+// Returns the upper bound of the weight of a destination without a counter, as of the landmark.
+double HeavyHitters::minimumCount() const {
   if (counters_.size() < capacity_) return 0;
   return std::min_element(counters_.begin(), counters_.end(),
                           [](const auto& a, const auto& b) { return a.count < b.count; })
       ->count;
 }
 
-void HeavyCounts::moveLandmark(double nowMs) {
-  const double by = scale(nowMs);
-  for (HeavyEntry& e : counters_) e.count *= by, e.error *= by, e.calls *= by;
-  total_ *= by;
+void HeavyHitters::moveLandmark(double nowMs) {
+  const double factor = scale(nowMs);
+  for (HeavyHitter& e : counters_) e.count *= factor, e.error *= factor, e.calls *= factor;
+  total_ *= factor;
   landmarkMs_ = nowMs;
 }
 
-void HeavyCounts::ask(double nowMs, std::int64_t destination, double worth) {
-  if (!begun_) landmarkMs_ = lastMs_ = nowMs;
-  begun_ = true;
+void HeavyHitters::record(double nowMs, std::int64_t destination, double worth) {
+  if (!started_) landmarkMs_ = lastMs_ = nowMs;
+  started_ = true;
   lastMs_ = std::max(lastMs_, nowMs);
-  if (lastMs_ - landmarkMs_ > kLandmarkSpans * tauMs_) moveLandmark(lastMs_);
-  const double one = 1 / scale(lastMs_), weight = std::max(worth, kLeastWorth) * one;
+  if (lastMs_ - landmarkMs_ > kLandmarkMaxTaus * tauMs_) moveLandmark(lastMs_);
+  const double unit = 1 / scale(lastMs_), weight = std::max(worth, kMinWorth) * unit;
   total_ += weight;
-  const auto at = places_.find(destination);
-  if (at != places_.end()) {
-    counters_[at->second].count += weight;
-    counters_[at->second].calls += one;
+  const auto found = indexes_.find(destination);
+  if (found != indexes_.end()) {
+    counters_[found->second].count += weight;
+    counters_[found->second].calls += unit;
   } else if (counters_.size() < capacity_) {
-    places_[destination] = counters_.size();
-    counters_.push_back({destination, weight, 0, one});
-  } else {  // takes the place of the least, and all that it may have been asked for before
+    indexes_[destination] = counters_.size();
+    counters_.push_back({destination, weight, 0, unit});
+  } else {  // replaces the smallest counter, whose count becomes the error of the new one
     const auto least = std::min_element(counters_.begin(), counters_.end(),
                                         [](const auto& a, const auto& b) { return a.count < b.count; });
-    places_.erase(least->destination);
-    places_[destination] = static_cast<std::size_t>(least - counters_.begin());
-    *least = {destination, least->count + weight, least->count, one};
+    indexes_.erase(least->destination);
+    indexes_[destination] = static_cast<std::size_t>(least - counters_.begin());
+    *least = {destination, least->count + weight, least->count, unit};
   }
 }
 
-HeavySummary HeavyCounts::summary(double nowMs, std::size_t most) const {
-  HeavySummary summary;
-  const double by = scale(nowMs);
-  summary.total = total_ * by;
-  for (const HeavyEntry& e : counters_)
-    summary.entries.push_back({e.destination, e.count * by, e.error * by, e.calls * by});
-  summary.floor = least() * by;
-  keepHeaviest(summary, most);
+HeavyHitterSummary HeavyHitters::summary(double nowMs, std::size_t limit) const {
+  HeavyHitterSummary summary;
+  const double factor = scale(nowMs);
+  summary.total = total_ * factor;
+  for (const HeavyHitter& e : counters_)
+    summary.entries.push_back({e.destination, e.count * factor, e.error * factor, e.calls * factor});
+  summary.floor = minimumCount() * factor;
+  keepHeaviest(summary, limit);
   return summary;
 }
 
-HeavyEntry HeavyCounts::of(double nowMs, std::int64_t destination) const {
-  const auto at = places_.find(destination);
-  const double by = scale(nowMs);
-  if (at == places_.end()) return {destination, least() * by, least() * by, 0};
-  const HeavyEntry& e = counters_[at->second];
-  return {destination, e.count * by, e.error * by, e.calls * by};
+HeavyHitter HeavyHitters::estimate(double nowMs, std::int64_t destination) const {
+  const auto found = indexes_.find(destination);
+  const double factor = scale(nowMs);
+  if (found == indexes_.end()) return {destination, minimumCount() * factor, minimumCount() * factor, 0};
+  const HeavyHitter& e = counters_[found->second];
+  return {destination, e.count * factor, e.error * factor, e.calls * factor};
 }
 
 }  // namespace myrtleloft
--- a/src/popularity/heavy_counts.h
+++ b/src/popularity/heavy_counts.h
@@ -1,18 +1,18 @@
-// What is asked for most, in bounded room: Space-Saving (Metwally, Agrawal, El Abbadi, 2005) under forward
-// decay (Cormode, Shkapenyuk, Srivastava, Xu, 2009). An ask at time t weighs worth x e^((t - landmark) /
-// tau), so that nothing that stands in the table has to be touched as time passes; read at time T, all is
-// divided by e^((T - landmark) / tau), and where the landmark lies does not matter.
+// The most requested destinations in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi, 2005) with
+// forward decay (Cormode, Shkapenyuk, Srivastava, Xu, 2009). A request at time t has the weight
+// worth x e^((t - landmark) / tau), so that stored counters need no update as time passes. A reader at time T
+// divides by e^((T - landmark) / tau); the choice of the landmark has no effect on the result.
 //
-//   HeavyCounts counts(tauMs, 256);
-//   counts.ask(nowMs, destination, worth);
-//   HeavySummary summary = counts.summary(nowMs, 64);
+//   HeavyHitters counts(tauMs, 256);
+//   counts.record(nowMs, destination, worth);
+//   HeavyHitterSummary summary = counts.summary(nowMs, 64);
 //
-// Error, of a table of k counters over asks that weigh W by now: of a destination that stands in a summary of
-// m entries, what it was asked for lies in [count - error, count]; of one that does not, in [0, floor]. Both
-// error and floor are W / k at the most for m = k, and floor is W / (m + 1) at the most for less.
+// Error bounds, for a table of k counters and requests with a decayed total weight of W: the weight of a
+// destination in a summary of m entries is in [count - error, count], that of any other in [0, floor]. With
+// m = k, error and floor are at most W / k; with m < k, floor is at most W / (m + 1).
 //
-// No I/O. Time is a steady clock's; one that runs back counts as standing still. One thread. O(1) to ask for
-// one that has a counter, else O(k).
+// Does no I/O. Times are those of a steady clock; a time before the latest one is treated as the latest. Not
+// thread-safe. Recording costs O(1) for a destination that has a counter, else O(k).
 #pragma once
 
 #include <tsl/robin_map.h>
@@ -24,55 +24,57 @@
 
 namespace myrtleloft {
 
-struct HeavyEntry {
+struct HeavyHitter {
   std::int64_t destination = 0;
-  double count = 0;  // worth asked for, decayed: no less than it was
-  double error = 0;  // how much of that may be others'
-  double calls = 0;  // calls asked for, decayed: no more than there were
-  friend auto operator<=>(const HeavyEntry&, const HeavyEntry&) = default;
+  double count = 0;  // decayed worth requested; never less than the actual value
+  double error = 0;  // the part of `count` that may belong to other destinations
+  double calls = 0;  // decayed number of calls; never more than the actual value
+  friend auto operator<=>(const HeavyHitter&, const HeavyHitter&) = default;
 };
 
-struct HeavySummary {
-  std::vector<HeavyEntry> entries;  // by destination, each once
-  double floor = 0;                 // no other was asked for more
-  double total = 0;                 // of all that were asked for
-  friend auto operator<=>(const HeavySummary&, const HeavySummary&) = default;
+struct HeavyHitterSummary {
+  std::vector<HeavyHitter> entries;  // sorted by destination, without duplicates
+  double floor = 0;                  // upper bound of the count of any destination without an entry
+  double total = 0;                  // of all destinations
+  friend auto operator<=>(const HeavyHitterSummary&, const HeavyHitterSummary&) = default;
 
-  const HeavyEntry* find(std::int64_t destination) const;  // O(log entries)
+  // Returns nullptr if the destination has no entry. O(log entries).
+  const HeavyHitter* find(std::int64_t destination) const;
 };
 
-// The `most` heaviest of all given, each multiplied by its factor: as of one moment for them all. Where a
-// destination is missing in one of them, that one's floor counts as asked for, and as error. So the intervals
-// above hold for the sum; floor is at most W / (most + 1) beyond the sum of the given floors.
-struct Part {
-  const HeavySummary* summary = nullptr;
+struct WeightedSummary {
+  const HeavyHitterSummary* summary = nullptr;
   double factor = 1;
 };
-HeavySummary summed(const std::vector<Part>& parts, std::size_t most);
+// Returns the `limit` heaviest entries of all parts, each multiplied by the factor of its part, which has to
+// bring all parts to the same time. The floor of a part without an entry for a destination is added to both
+// count and error, so that the intervals above hold for the sum. The floor is at most W / (limit + 1) above
+// the sum of the parts' floors.
+HeavyHitterSummary sumOfSummaries(const std::vector<WeightedSummary>& parts, std::size_t limit);
 
-class HeavyCounts {
+class HeavyHitters {
  public:
-  // tauMs > 0, capacity > 0.
-  HeavyCounts(double tauMs, std::size_t capacity);
+  // Requires tauMs > 0 and capacity > 0.
+  HeavyHitters(double tauMs, std::size_t capacity);
 
-  // worth >= 0; one without worth counts a hundredth, so that it is not as if it had never come.
-  void ask(double nowMs, std::int64_t destination, double worth);
-  HeavySummary summary(double nowMs, std::size_t most) const;
-  // Where it has no counter, what it may have been asked for at the most stands as count and error.
-  HeavyEntry of(double nowMs, std::int64_t destination) const;
+  // Requires worth >= 0. A worth below 0.01 counts as 0.01, so that such requests are counted too.
+  void record(double nowMs, std::int64_t destination, double worth);
+  HeavyHitterSummary summary(double nowMs, std::size_t limit) const;
+  // For a destination without a counter, count and error are the upper bound of its weight.
+  HeavyHitter estimate(double nowMs, std::int64_t destination) const;
   double total(double nowMs) const { return total_ * scale(nowMs); }
 
  private:
-  double least() const;
+  double minimumCount() const;
   double scale(double nowMs) const;
   void moveLandmark(double nowMs);
 
   double tauMs_;
   std::size_t capacity_;
   double landmarkMs_ = 0, lastMs_ = 0, total_ = 0;
-  bool begun_ = false;
-  std::vector<HeavyEntry> counters_;
-  tsl::robin_map<std::int64_t, std::size_t> places_;
+  bool started_ = false;
+  std::vector<HeavyHitter> counters_;
+  tsl::robin_map<std::int64_t, std::size_t> indexes_;
 };
 
 }  // namespace myrtleloft
--- a/src/popularity/hint.cpp
+++ b/src/popularity/hint.cpp
@@ -6,49 +6,57 @@
 namespace myrtleloft {
 namespace {
 
-constexpr double kColdFallbackMs = 10000, kWaitFallbackMs = 10000;
-constexpr double kForgetColdSpans = 2;  // as the module's own failures
-constexpr double kLeastPacePerS = 0.5;  // as the module's kLeastPerS
-
-// The share of it that is trusted still; nothing: too old, or not a number that says anything.
-std::optional<double> trusted(const std::optional<Aged>& part, double heldMs, const HintFade& fade) {
-  if (!part || !std::isfinite(part->value) || part->value < 0 || !(part->ageMs >= 0)) return std::nullopt;
-  const double age = part->ageMs + std::max(0.0, heldMs);
-  if (!(age <= fade.forgetMs)) return std::nullopt;
-  return std::exp2(-age / fade.halvesMs);
+constexpr double kDefaultColdMs = 10000, kDefaultMaxRetryAfterMs = 10000;
+constexpr double kMaxAgeColdSpans = 2;  // the decision module discards its own failures after the same time
+constexpr double kMinRatePerS = 0.5;    // equals kLeastPerS of the decision module
+
+// Returns the weight of a value at its age, or std::nullopt if the value is missing, too old or invalid.
+std::optional<double> weightOf(const std::optional<AgedValue>& aged, double sinceReceivedMs,
+                               const HintDecay& decay) {
+  if (!aged || !std::isfinite(aged->value) || aged->value < 0 || !(aged->ageMs >= 0)) return std::nullopt;
+  const double age = aged->ageMs + std::max(0.0, sinceReceivedMs);
+  if (!(age <= decay.maxAgeMs)) return std::nullopt;
+  return std::exp2(-age / decay.halfLifeMs);
 }
 
 }  // namespace
 
-HintFade HintFade::of(double coldMs, double maxRetryAfterMs) {
-  const double cold = coldMs > 0 ? coldMs : kColdFallbackMs;
-  return {cold, kForgetColdSpans * cold, maxRetryAfterMs > 0 ? maxRetryAfterMs : kWaitFallbackMs,
-          kLeastPacePerS};
+HintDecay HintDecay::of(double coldMs, double maxRetryAfterMs) {
+  const double cold = coldMs > 0 ? coldMs : kDefaultColdMs;
+  return {cold, kMaxAgeColdSpans * cold, maxRetryAfterMs > 0 ? maxRetryAfterMs : kDefaultMaxRetryAfterMs,
+          kMinRatePerS};
 }
 
-bool noFreer(const Brakes& a, const Brakes& b) {
-  return a.pacePerS <= b.pacePerS && (b.usualMs == 0 || a.usualMs == b.usualMs) &&
-         a.usualHintedMs >= b.usualHintedMs && a.refusedShare >= b.refusedShare && a.ill >= b.ill &&
-         a.waitUntilMs >= b.waitUntilMs && a.connectionCap <= b.connectionCap && a.draining >= b.draining &&
-         a.bounded >= b.bounded;
+bool isAtLeastAsStrict(const Restrictions& a, const Restrictions& b) {
+  return a.ratePerS <= b.ratePerS && (b.typicalLatencyMs == 0 || a.typicalLatencyMs == b.typicalLatencyMs) &&
+         a.hintedLatencyMs >= b.hintedLatencyMs && a.rejectedShare >= b.rejectedShare &&
+         a.outageProbability >= b.outageProbability && a.blockedUntilMs >= b.blockedUntilMs &&
+         a.connectionCap <= b.connectionCap && a.draining >= b.draining && a.rateBounded >= b.rateBounded;
 }
 
-Brakes applied(const Hint& hint, const Brakes& own, double nowMs, double heldMs, const HintFade& fade) {
-  Brakes b = own;
-  if (const auto t = trusted(hint.pacePerS, heldMs, fade))
-    b.pacePerS = std::min(b.pacePerS, std::max(fade.leastPacePerS, hint.pacePerS->value / *t));
-  if (trusted(hint.usualMs, heldMs, fade)) b.usualHintedMs = std::max(b.usualHintedMs, hint.usualMs->value);
-  if (const auto t = trusted(hint.refusedShare, heldMs, fade))
-    b.refusedShare = std::max(b.refusedShare, std::min(1.0, hint.refusedShare->value) * *t);
-  if (const auto t = trusted(hint.ill, heldMs, fade))
-    b.ill = std::max(b.ill, std::min(kMostHintedIll, hint.ill->value) * *t);
-  if (trusted(hint.waitMs, heldMs, fade)) {
-    const double left = hint.waitMs->value - hint.waitMs->ageMs - std::max(0.0, heldMs);
-    if (left > 0) b.waitUntilMs = std::max(b.waitUntilMs, nowMs + std::min(left, fade.mostWaitMs));
+Restrictions applyHint(const Hint& hint, const Restrictions& own, double nowMs, double sinceReceivedMs,
+                       const HintDecay& decay) {
+  Restrictions result = own;
+  if (const auto weight = weightOf(hint.ratePerS, sinceReceivedMs, decay))
+    result.ratePerS = std::min(result.ratePerS, std::max(decay.minRatePerS, hint.ratePerS->value / *weight));
+  if (weightOf(hint.typicalLatencyMs, sinceReceivedMs, decay))
+    result.hintedLatencyMs = std::max(result.hintedLatencyMs, hint.typicalLatencyMs->value);
+  if (const auto weight = weightOf(hint.rejectedShare, sinceReceivedMs, decay))
+    result.rejectedShare = std::max(result.rejectedShare, std::min(1.0, hint.rejectedShare->value) * *weight);
+  if (const auto weight = weightOf(hint.outageProbability, sinceReceivedMs, decay))
+    result.outageProbability =
+        std::max(result.outageProbability,
+                 std::min(kMaxHintedOutageProbability, hint.outageProbability->value) * *weight);
+  if (weightOf(hint.retryAfterMs, sinceReceivedMs, decay)) {
+    const double remainingMs =
+        hint.retryAfterMs->value - hint.retryAfterMs->ageMs - std::max(0.0, sinceReceivedMs);
+    if (remainingMs > 0)
+      result.blockedUntilMs = std::max(result.blockedUntilMs, nowMs + std::min(remainingMs, decay.maxWaitMs));
   }
-  if (const auto t = trusted(hint.connectionCap, heldMs, fade))
-    b.connectionCap = std::min(b.connectionCap, std::max(1.0, std::floor(hint.connectionCap->value / *t)));
-  return b;
+  if (const auto weight = weightOf(hint.connectionCap, sinceReceivedMs, decay))
+    result.connectionCap =
+        std::min(result.connectionCap, std::max(1.0, std::floor(hint.connectionCap->value / *weight)));
+  return result;
 }
 
 }  // namespace myrtleloft
--- a/src/popularity/hint.h
+++ b/src/popularity/hint.h
@@ -1,16 +1,16 @@
-// What is learned of an endpoint, as one relay tells it to another: each part with its age. A hint may slow
-// whoever takes it, and nothing else.
+// Hints: what one relay has learned of an endpoint, as reported to another relay, each value with its age. A
+// hint can only slow down the relay that receives it.
 //
-//   Brakes after = applied(hint, own, nowMs, heldMs, fade);
+//   Restrictions after = applyHint(hint, own, nowMs, sinceReceivedMs, decay);
 //
-// `Brakes` is the part of what a relay knows that keeps calls back. They are ordered: a is *no freer* than b
-// when each part of a keeps back at least as much. For every hint, `applied` is no freer than what it was
-// applied to; twice is the same as once, and in which order two hints of one moment come is all the same. So
-// a hint never ends a told wait, a drain or a bound, never raises a pace or a cap, and never says that an
-// endpoint is well.
+// `Restrictions` is the part of a relay's knowledge that holds calls back. A set of restrictions is at least
+// as strict as another if each of its members restricts at least as much. The result of applyHint is at least
+// as strict as its input; applying a hint twice has the same effect as once, and two hints of the same time
+// can be applied in either order. A hint therefore never ends a Retry-After, a drain or a rate bound, never
+// raises a rate or a connection limit, and never states that an endpoint is healthy.
 //
-// Ages are counted by the teller's own clock up to when it told, and by the hearer's from then on: no clocks
-// are compared. Without I/O; safe for several threads; O(1).
+// Ages are measured by the sender's clock until the hint is sent and by the receiver's clock from then on, so
+// that clocks are never compared. Does no I/O; thread-safe; O(1).
 #pragma once
 
 #include <cstdint>
@@ -20,52 +20,52 @@
 
 namespace myrtleloft {
 
-struct Aged {
+struct AgedValue {
   double value = 0;
-  double ageMs = 0;  // since it was learned, as of the telling
+  double ageMs = 0;  // time since the value was learned, at the time of sending
 };
 
 struct Hint {
-  std::string endpoint;               // its uid
-  std::optional<Aged> pacePerS;       // the own share that it was held to
-  std::optional<Aged> usualMs;        // usual time of an answer
-  std::optional<Aged> refusedShare;   // of its calls, refused as full
-  std::optional<Aged> ill;            // odds that it is out
-  std::optional<Aged> waitMs;         // of a told wait what was left
-  std::optional<Aged> connectionCap;  // connections at which it refused more
+  std::string endpoint;                        // the endpoint's uid
+  std::optional<AgedValue> ratePerS;           // rate limit of the sender's own share
+  std::optional<AgedValue> typicalLatencyMs;   // typical response time
+  std::optional<AgedValue> rejectedShare;      // share of the sender's calls rejected for lack of capacity
+  std::optional<AgedValue> outageProbability;  // probability that the endpoint is out of service
+  std::optional<AgedValue> retryAfterMs;       // remaining time of a Retry-After
+  std::optional<AgedValue> connectionCap;      // number of connections at which more were refused
 };
 
-struct Brakes {
-  double pacePerS = std::numeric_limits<double>::infinity();
-  double usualMs = 0;        // learned here; 0: not known
-  double usualHintedMs = 0;  // stands in while none is learned here
-  double refusedShare = 0;
-  double ill = 0;
-  double waitUntilMs = -std::numeric_limits<double>::infinity();
+struct Restrictions {
+  double ratePerS = std::numeric_limits<double>::infinity();
+  double typicalLatencyMs = 0;  // learned by this relay; 0 if unknown
+  double hintedLatencyMs = 0;   // used while typicalLatencyMs is unknown
+  double rejectedShare = 0;
+  double outageProbability = 0;
+  double blockedUntilMs = -std::numeric_limits<double>::infinity();
   double connectionCap = std::numeric_limits<double>::infinity();
   bool draining = false;
-  bool bounded = false;  // its pace is bounded after a failure
-  friend bool operator==(const Brakes&, const Brakes&) = default;
+  bool rateBounded = false;  // the rate is bounded after a failure
+  friend bool operator==(const Restrictions&, const Restrictions&) = default;
 };
 
-// How hints grow old. Both follow from settings: `HintFade::of`.
-struct HintFade {
-  double halvesMs =
-      0;  // what slows is trusted half as much, a pace is taken for twice as fast, after so long
-  double forgetMs = 0;       // an older part counts for nothing
-  double mostWaitMs = 0;     // no hint makes anybody wait longer
-  double leastPacePerS = 0;  // nor go slower: the slowest that is told apart from a standstill
-  // coldMs and maxRetryAfterMs of the settings: what was seen of an endpoint outlasts the span in which it
-  // warms up by little, and after two of them the module forgets its own failures too.
-  static HintFade of(double coldMs, double maxRetryAfterMs);
+// How the effect of hints decays with their age. All values follow from settings, see HintDecay::of.
+struct HintDecay {
+  double halfLifeMs = 0;   // time after which a restriction counts half and a rate limit is doubled
+  double maxAgeMs = 0;     // older values are ignored
+  double maxWaitMs = 0;    // upper bound of a wait caused by a hint
+  double minRatePerS = 0;  // lower bound of a hinted rate: the lowest rate that differs from a standstill
+  // Takes coldMs and maxRetryAfterMs of the settings. What was observed of an endpoint is valid little longer
+  // than its slow start, and the decision module discards its own failures after two slow starts as well.
+  static HintDecay of(double coldMs, double maxRetryAfterMs);
 };
 
-// A hint alone never says that an endpoint is out (odds of one): that takes a failure seen here.
-inline constexpr double kMostHintedIll = 0.5;
+// A hint alone never marks an endpoint as out of service (probability 1); that takes a failure observed by
+// this relay.
+inline constexpr double kMaxHintedOutageProbability = 0.5;
 
-// Whether `a` keeps back at least as much as `b`, in each part.
-bool noFreer(const Brakes& a, const Brakes& b);
-// heldMs: how long ago it was told.
-Brakes applied(const Hint& hint, const Brakes& own, double nowMs, double heldMs, const HintFade& fade);
+bool isAtLeastAsStrict(const Restrictions& a, const Restrictions& b);
+// sinceReceivedMs: time since the hint arrived, by this relay's clock.
+Restrictions applyHint(const Hint& hint, const Restrictions& own, double nowMs, double sinceReceivedMs,
+                       const HintDecay& decay);
 
 }  // namespace myrtleloft
--- a/src/popularity/hint_desk.h
+++ b/src/popularity/hint_desk.h
@@ -1,11 +1,14 @@
-// Asks neighbours for what they learned, and says which answers were asked for. Without I/O.
+// Requests hints from other relays of the region and matches responses to requests. Does no I/O.
 //
-//   if (auto ask = desk.met(nowMs, destination, holders, keepers)) send(ask->peer, ask->ask);
-//   ... if (desk.take(nowMs, peer, told)) for (const Hint& hint : told.hints) ... applied(hint, ...)
+//   if (auto outgoing = requester.requestFor(nowMs, destination, holders, retainers)) send(outgoing->peer,
+//   ...);
+//   ... if (requester.accept(nowMs, peer, response)) for (const Hint& hint : response.hints) applyHint(hint,
+//   ...)
 //
-// One question a destination at a time, kMostOut at once; one that stays without an answer for kAnswerMs is
-// over, and the same destination is asked for again only after kAgainMs. What nobody asked for is not taken.
-// Bounded: kMostAsked destinations are remembered. One thread; O(log).
+// One request per destination and at most kMaxInFlight overall are in flight. A request times out after
+// kResponseTimeoutMs, and the same destination is requested again only after kRepeatAfterMs. Responses that
+// were not requested are rejected. At most kMaxRemembered destinations are remembered. Not thread-safe.
+// requestFor costs O(remembered), accept O(log remembered).
 #pragma once
 
 #include <algorithm>
@@ -19,54 +22,59 @@
 
 namespace myrtleloft {
 
-class HintDesk {
+class HintRequester {
  public:
-  static constexpr std::size_t kMostOut = 16, kMostAsked = 256;
-  // As long as an endpoint has for the rest of an answer; a twelfth of the usual time constant, in which
-  // counts are told anew, and with them who knows of what.
-  static constexpr double kAnswerMs = 500, kAgainMs = 5000;
-  struct Ask {
+  static constexpr std::size_t kMaxInFlight = 16, kMaxRemembered = 256;
+  // The timeout equals the time an endpoint has to complete a started response. The repeat interval is a
+  // twelfth of the usual time constant: in that time counts, and with them the holders of each entry, are
+  // reported again.
+  static constexpr double kResponseTimeoutMs = 500, kRepeatAfterMs = 5000;
+  struct Outgoing {
     std::string peer;
-    HintAsk ask;
+    HintRequest request;
   };
 
-  // A message for a destination came of which nothing is learned here. `holders` said that they know of it;
-  // where none did, the first of `keepers` may. Nothing: nobody to ask, or not now.
-  std::optional<Ask> met(double nowMs, std::int64_t destination, const std::vector<std::string>& holders,
-                         const std::vector<std::string>& keepers) {
-    std::erase_if(asked_, [&](const auto& a) { return nowMs - a.second.atMs >= kAgainMs; });
-    const std::string* peer = !holders.empty()   ? &holders.front()
-                              : !keepers.empty() ? &keepers.front()
-                                                 : nullptr;
-    if (!peer || asked_.count(destination) || asked_.size() >= kMostAsked || out(nowMs) >= kMostOut)
+  // Called when a request arrives for a destination of which this relay has learned nothing. Asks the first
+  // of `holders`, which reported that they know the destination; if there are none, the first of `retainers`.
+  // Returns std::nullopt if there is no relay to ask or no request may be sent now.
+  std::optional<Outgoing> requestFor(double nowMs, std::int64_t destination,
+                                     const std::vector<std::string>& holders,
+                                     const std::vector<std::string>& retainers) {
+    std::erase_if(requests_, [&](const auto& r) { return nowMs - r.second.sentMs >= kRepeatAfterMs; });
+    const std::string* peer = !holders.empty()     ? &holders.front()
+                              : !retainers.empty() ? &retainers.front()
+                                                   : nullptr;
+    if (!peer || requests_.count(destination) || requests_.size() >= kMaxRemembered ||
+        inFlight(nowMs) >= kMaxInFlight)
       return std::nullopt;
-    asked_[destination] = {++last_, *peer, nowMs, true};
-    return Ask{*peer, {last_, destination}};
+    requests_[destination] = {++lastRequestId_, *peer, nowMs, true};
+    return Outgoing{*peer, {lastRequestId_, destination}};
   }
 
-  // Whether it answers a question that is still out.
-  bool take(double nowMs, const std::string& peer, const HintTold& told) {
-    const auto at = asked_.find(told.destination);
-    if (at == asked_.end() || !at->second.out || at->second.number != told.number || at->second.peer != peer)
+  // Returns whether the response belongs to a request in flight.
+  bool accept(double nowMs, const std::string& peer, const HintResponse& response) {
+    const auto found = requests_.find(response.destination);
+    if (found == requests_.end() || !found->second.inFlight ||
+        found->second.requestId != response.requestId || found->second.peer != peer)
       return false;
-    at->second.out = false;
-    return nowMs - at->second.atMs < kAnswerMs;
+    found->second.inFlight = false;
+    return nowMs - found->second.sentMs < kResponseTimeoutMs;
   }
 
  private:
-  struct Asked {
-    std::uint64_t number = 0;
+  struct Sent {
+    std::uint64_t requestId = 0;
     std::string peer;
-    double atMs = 0;
-    bool out = false;
+    double sentMs = 0;
+    bool inFlight = false;
   };
-  std::size_t out(double nowMs) const {
-    return static_cast<std::size_t>(std::count_if(asked_.begin(), asked_.end(), [&](const auto& a) {
-      return a.second.out && nowMs - a.second.atMs < kAnswerMs;
+  std::size_t inFlight(double nowMs) const {
+    return static_cast<std::size_t>(std::count_if(requests_.begin(), requests_.end(), [&](const auto& r) {
+      return r.second.inFlight && nowMs - r.second.sentMs < kResponseTimeoutMs;
     }));
   }
-  std::map<std::int64_t, Asked> asked_;
-  std::uint64_t last_ = 0;
+  std::map<std::int64_t, Sent> requests_;
+  std::uint64_t lastRequestId_ = 0;
 };
 
 }  // namespace myrtleloft
--- a/src/popularity/keeper.cpp
+++ b/src/popularity/keeper.cpp
@@ -9,132 +9,144 @@
 namespace myrtleloft {
 namespace {
 
-// How much the building's average counts beside what was asked for here, in time constants of own counts: a
-// relay is asked for what the others are, as far as the operator's clients spread, and own counts of what is
-// seldom called are mostly chance.
-constexpr double kBuildingExposure = 2;
-// What is left of a loss where a neighbour can be asked: the first call goes before its answer has come.
-constexpr double kHinted = 0.2;
-constexpr double kUsualFallbackMs = 250;  // as the module's
-
-double callsHere(const Popularity& p) {
-  const double average = p.callsBuilding / static_cast<double>(std::max<std::size_t>(1, p.relays));
-  return (p.callsHere + kBuildingExposure * average) / (1 + kBuildingExposure);
+// Weight of the region's average in the estimate of local calls, where the relay's own count has a weight of
+// one. Clients spread their requests over the relays of a region, so that relays see similar demand, while a
+// relay's own count of a rarely called destination is mostly noise.
+constexpr double kRegionWeight = 2;
+// The share of the cold loss that remains if another relay can be asked for a hint: the first call is made
+// before the response arrives.
+constexpr double kHintableLossShare = 0.2;
+constexpr double kDefaultLatencyMs = 250;  // equals the default of the decision module
+
+double expectedLocalCalls(const Popularity& popularity) {
+  const double average =
+      popularity.regionCalls / static_cast<double>(std::max<std::size_t>(1, popularity.relays));
+  return (popularity.localCalls + kRegionWeight * average) / (1 + kRegionWeight);
 }
 
 }  // namespace
 
-double coldCostOf(WarmKind kind, const ColdFacts& f) {
-  if (kind == WarmKind::kLearned) return f.worth * std::max(0.0, f.refusedCalls);
-  return f.worth * (f.handshakePenalty + (f.aimMs > 0 ? std::min(1.0, f.handshakeMs / f.aimMs) : 0));
+double coldCostOf(CacheEntryKind kind, const ColdCostInputs& inputs) {
+  if (kind == CacheEntryKind::kLearned) return inputs.worth * std::max(0.0, inputs.rejectedCalls);
+  return inputs.worth *
+         (inputs.handshakePenalty + (inputs.latencyObjectiveMs > 0
+                                         ? std::min(1.0, inputs.handshakeMs / inputs.latencyObjectiveMs)
+                                         : 0));
 }
 
-Keeper::Keeper(Options options) : options_(std::move(options)) {
+EvictionPolicy::EvictionPolicy(Options options) : options_(std::move(options)) {
   options_.slots = std::max<std::size_t>(1, options_.slots);
-  turns_ = std::max(1.0, static_cast<double>(options_.slots) / 4);
+  replacements_ = std::max(1.0, static_cast<double>(options_.slots) / 4);
 }
 
-std::size_t Keeper::keepersAt(std::size_t endpointHolds, std::size_t buildings) {
-  const double part = static_cast<double>(endpointHolds) * kIdleShare /
-                      static_cast<double>(std::max<std::size_t>(1, buildings));
-  return static_cast<std::size_t>(part);
+std::size_t EvictionPolicy::allowedHolders(std::size_t endpointConnectionLimit, std::size_t regions) {
+  const double allowed = static_cast<double>(endpointConnectionLimit) * kIdleShare /
+                         static_cast<double>(std::max<std::size_t>(1, regions));
+  return static_cast<std::size_t>(allowed);
 }
 
-bool Keeper::mayKeep(const WarmItem& item, const KeepView& view) const {
-  if (item.kind == WarmKind::kLearned || item.endpointHolds == 0) return true;
-  const std::size_t room = keepersAt(item.endpointHolds, view.buildings);
-  const std::size_t relays = std::max<std::size_t>(1, view.relays.size());
-  // Where there is more room than relays, each has its part of it.
-  if (room >= relays) return item.behind < room / relays;
-  return item.behind == 0 && rendezvousRank(item.destination, view.relays, options_.me) < room;
+bool EvictionPolicy::mayRetain(const CacheEntry& entry, const EvictionContext& context) const {
+  if (entry.kind == CacheEntryKind::kLearned || entry.endpointConnectionLimit == 0) return true;
+  const std::size_t allowed = allowedHolders(entry.endpointConnectionLimit, context.regions);
+  const std::size_t relays = std::max<std::size_t>(1, context.relays.size());
+  // If more idle connections are allowed than there are relays, each relay has an equal part.
+  if (allowed >= relays) return entry.connectionsAhead < allowed / relays;
+  return entry.connectionsAhead == 0 &&
+         rendezvousRank(entry.destination, context.relays, options_.relayName) < allowed;
 }
 
-bool Keeper::lastOfPopular(const WarmItem& item, const KeepView& view) const {
-  if (item.behind > 0) return false;
-  const Popularity p = view.popularity(item.destination);
-  if (p.share * static_cast<double>(options_.slots) <= 1) return false;
-  return rendezvousRank(item.destination, view.holders(item.destination, item.kind), options_.me) == 0;
+bool EvictionPolicy::isLastPopularCopy(const CacheEntry& entry, const EvictionContext& context) const {
+  if (entry.connectionsAhead > 0) return false;
+  const Popularity popularity = context.popularity(entry.destination);
+  if (popularity.share * static_cast<double>(options_.slots) <= 1) return false;
+  return rendezvousRank(entry.destination, context.holders(entry.destination, entry.kind),
+                        options_.relayName) == 0;
 }
 
-double Keeper::worthOf(const WarmItem& item, const KeepView& view) const {
-  const Popularity p = view.popularity(item.destination);
-  const double here = callsHere(p);
-  if (item.kind == WarmKind::kLearned) {
-    if (rendezvousRank(item.destination, view.relays, options_.me) < kLearnedCopies)
-      return std::max(here, p.callsBuilding) * item.coldCost;
-    return here * item.coldCost * (view.holders(item.destination, item.kind).empty() ? 1 : kHinted);
+double EvictionPolicy::valueOf(const CacheEntry& entry, const EvictionContext& context) const {
+  const Popularity popularity = context.popularity(entry.destination);
+  const double calls = expectedLocalCalls(popularity);
+  if (entry.kind == CacheEntryKind::kLearned) {
+    if (rendezvousRank(entry.destination, context.relays, options_.relayName) < kLearnedCopies)
+      return std::max(calls, popularity.regionCalls) * entry.coldCost;
+    return calls * entry.coldCost *
+           (context.holders(entry.destination, entry.kind).empty() ? 1 : kHintableLossShare);
   }
-  // Those behind others are used when as many calls are out at once.
-  const double usual = item.usualMs > 0 ? item.usualMs : kUsualFallbackMs;
-  const double load = here / options_.tauMs * usual;
-  return here * item.coldCost * std::pow(load / (1 + load), static_cast<double>(item.behind));
+  // This connection is used only while as many calls are in flight as there are connections ahead of it.
+  const double latencyMs = entry.typicalLatencyMs > 0 ? entry.typicalLatencyMs : kDefaultLatencyMs;
+  const double meanInFlight = calls / options_.tauMs * latencyMs;
+  return calls * entry.coldCost *
+         std::pow(meanInFlight / (1 + meanInFlight), static_cast<double>(entry.connectionsAhead));
 }
 
-double Keeper::turnsLeft(double nowMs) const {
+double EvictionPolicy::replacementsLeft(double nowMs) const {
   const double slots = static_cast<double>(options_.slots);
-  const double since = std::max(0.0, nowMs - turnsAtMs_);
-  return std::min(std::max(1.0, slots / 4), turns_ + since / options_.tauMs * kTurnovers * slots);
+  const double elapsedMs = std::max(0.0, nowMs - replacementsAtMs_);
+  return std::min(std::max(1.0, slots / 4),
+                  replacements_ + elapsedMs / options_.tauMs * kReplacementsPerSlot * slots);
 }
 
-std::vector<std::size_t> Keeper::evictions(double nowMs, const std::vector<WarmItem>& items,
-                                           const WarmBudget& budget, const KeepView& view) {
-  turns_ = turnsLeft(nowMs);
-  turnsAtMs_ = std::max(turnsAtMs_, nowMs);
-  std::size_t bytes = 0, descriptors = 0, fresh = 0;
-  std::vector<std::size_t> gone;
-  std::vector<std::tuple<bool, double, std::int64_t, std::size_t>> order;  // what goes first, first
-  const auto over = [&] { return bytes > budget.bytes || descriptors > budget.descriptors; };
-  const auto drop = [&](std::size_t i) {
-    bytes -= items[i].bytes;
-    descriptors -= items[i].kind == WarmKind::kConnection;
-    fresh -= items[i].fresh;
-    gone.push_back(i);
+std::vector<std::size_t> EvictionPolicy::evictions(double nowMs, const std::vector<CacheEntry>& entries,
+                                                   const CacheBudget& budget,
+                                                   const EvictionContext& context) {
+  replacements_ = replacementsLeft(nowMs);
+  replacementsAtMs_ = std::max(replacementsAtMs_, nowMs);
+  std::size_t bytes = 0, descriptors = 0, newEntries = 0;
+  std::vector<std::size_t> evicted;
+  std::vector<std::tuple<bool, double, std::int64_t, std::size_t>> order;  // in order of eviction
+  const auto isOverBudget = [&] { return bytes > budget.bytes || descriptors > budget.descriptors; };
+  const auto evict = [&](std::size_t i) {
+    bytes -= entries[i].bytes;
+    descriptors -= entries[i].kind == CacheEntryKind::kConnection;
+    newEntries -= entries[i].isNew;
+    evicted.push_back(i);
   };
-  for (const WarmItem& item : items) {
-    bytes += item.bytes;
-    descriptors += item.kind == WarmKind::kConnection;
-    fresh += item.fresh;
+  for (const CacheEntry& entry : entries) {
+    bytes += entry.bytes;
+    descriptors += entry.kind == CacheEntryKind::kConnection;
+    newEntries += entry.isNew;
   }
-  for (std::size_t i = 0; i < items.size(); ++i)
-    if (!items[i].binds && !mayKeep(items[i], view)) drop(i);
-  if (!over()) return gone;
-
-  const std::vector<std::size_t> given = gone;
-  for (std::size_t i = 0; i < items.size(); ++i) {
-    const WarmItem& item = items[i];
-    if (item.binds || std::find(given.begin(), given.end(), i) != given.end()) continue;
+  for (std::size_t i = 0; i < entries.size(); ++i)
+    if (!entries[i].pinReasons && !mayRetain(entries[i], context)) evict(i);
+  if (!isOverBudget()) return evicted;
+
+  const std::vector<std::size_t> disallowed = evicted;
+  for (std::size_t i = 0; i < entries.size(); ++i) {
+    const CacheEntry& entry = entries[i];
+    if (entry.pinReasons || std::find(disallowed.begin(), disallowed.end(), i) != disallowed.end()) continue;
     const double share = std::max(
-        static_cast<double>(item.bytes) / static_cast<double>(std::max<std::size_t>(1, budget.bytes)),
-        item.kind == WarmKind::kConnection
+        static_cast<double>(entry.bytes) / static_cast<double>(std::max<std::size_t>(1, budget.bytes)),
+        entry.kind == CacheEntryKind::kConnection
             ? 1 / static_cast<double>(std::max<std::size_t>(1, budget.descriptors))
             : 0);
-    const double worth = worthOf(item, view) * (item.fresh ? 1 : 1 + kMargin);
-    order.emplace_back(lastOfPopular(item, view), worth / std::max(share, 1e-9), item.destination, i);
+    const double value = valueOf(entry, context) * (entry.isNew ? 1 : 1 + kReplacementMargin);
+    order.emplace_back(isLastPopularCopy(entry, context), value / std::max(share, 1e-9), entry.destination,
+                       i);
   }
   std::sort(order.begin(), order.end());
-  const auto helps = [&](const WarmItem& item) {
-    return (bytes > budget.bytes && item.bytes > 0) ||
-           (descriptors > budget.descriptors && item.kind == WarmKind::kConnection);
+  const auto reducesOverrun = [&](const CacheEntry& entry) {
+    return (bytes > budget.bytes && entry.bytes > 0) ||
+           (descriptors > budget.descriptors && entry.kind == CacheEntryKind::kConnection);
   };
-  std::vector<std::size_t> spared;
-  for (const auto& [last, worth, destination, i] : order) {
-    if (!over()) break;
-    if (!helps(items[i])) continue;
-    if (!items[i].fresh && fresh > 0) {  // a new one would stay in its place
-      if (turns_ < 1) {
-        spared.push_back(i);
+  std::vector<std::size_t> deferred;
+  for (const auto& [last, value, destination, i] : order) {
+    if (!isOverBudget()) break;
+    if (!reducesOverrun(entries[i])) continue;
+    if (!entries[i].isNew && newEntries > 0) {  // a new entry would take its place
+      if (replacements_ < 1) {
+        deferred.push_back(i);
         continue;
       }
-      turns_ -= 1;
+      replacements_ -= 1;
     }
-    drop(i);
+    evict(i);
   }
-  for (const std::size_t i :
-       spared) {  // what is new did not make room enough: the bounds go before the turns
-    if (!over()) break;
-    if (helps(items[i])) drop(i);
+  // Evicting new entries did not free enough: the budget takes precedence over the limit on replacements.
+  for (const std::size_t i : deferred) {
+    if (!isOverBudget()) break;
+    if (reducesOverrun(entries[i])) evict(i);
   }
-  return gone;
+  return evicted;
 }
 
 }  // namespace myrtleloft
--- a/src/popularity/keeper.h
+++ b/src/popularity/keeper.h
@@ -1,26 +1,33 @@
-// What stays warm when there is no room for all: idle connections to endpoints, and what was learned of them.
-// Decides without I/O, from what it is given; two relays that are given the same view decide alike.
+// Selects the cache entries to evict when the cache is over its budget. Entries are idle connections to
+// endpoints and learned state of endpoints. Does no I/O; relays with the same context make the same
+// decisions.
 //
-//   Keeper keeper({"n1", tauMs, 256});
-//   for (std::size_t gone : keeper.evictions(nowMs, items, budget, view)) ... // indexes in `items`
+//   EvictionPolicy policy({"n1", tauMs, 256});
+//   for (std::size_t i : policy.evictions(nowMs, entries, budget, context)) ...   // indexes in `entries`
 //
-// An item's worth is what it saves in a second: calls a second that would use it x what one call loses by
-// meeting the destination cold (`coldCost`). Its price is its share of the bytes or of the descriptors that
-// are there, whichever is more. The least worth for its price goes first, after these rules:
-//   - What binds never goes, though the bounds be passed: a told wait, a drain, a cold return in doubt, a
-//   call
-//     out, a promised copy.
-//   - At an endpoint that holds few connections only its keepers keep idle ones: as many relays of the
-//     building as its part of half of those connections, by rendezvous. Others give theirs back at once.
-//   - The last warm copy of a popular destination goes after all that is not; of several, the last is that of
-//   the holder
-//     whom rendezvous puts first, so that not all who see two copies drop theirs. Popular is what is asked
-//     for more than one of `slots` equal parts of all that the building is asked for.
-//   - What was learned can be asked for: two keepers, by rendezvous, hold it for the building and count the
-//   building's
-//     calls for it; to others a copy that a neighbour holds as well is worth but the question.
-//   - What is new takes the place of what is kept only if worth kMargin more, and no more than
-//     `slots` / 4 times at once and kTurnovers x `slots` times in a time constant: else the new one goes.
+// The value of an entry is the loss it avoids: the number of calls that would use it, multiplied by the loss
+// of one call that meets its destination cold (coldCostOf). Its price is its share of the byte budget or of
+// the descriptor budget, whichever is larger. The entry with the lowest ratio of value to price is evicted
+// first, subject to these rules:
+//   - Pinned entries are never evicted, even if the budget is exceeded: during a Retry-After, a drain, an
+//     unconfirmed cold return or a call in flight, and copies this relay has promised to keep.
+//   - Few relays may hold idle connections to an endpoint with few connections: as many relays of the region
+//   as
+//     its part of half of these connections allows, chosen by rendezvous hashing. Other relays close theirs
+//     at once.
+//   - The last cached copy of a popular destination is evicted after all others. If several relays hold a
+//   copy,
+//     the first in rendezvous order counts as the holder of the last one, so that not all of them evict
+//     theirs at the same time. A destination is popular if it has more than 1 / `slots` of the requests of
+//     the region.
+//   - Learned state can be requested from another relay. Two relays per destination, chosen by rendezvous
+//   hashing,
+//     retain it for the region and value it by the region's calls. For other relays, a copy that another
+//     relay holds too is only worth the cost of requesting it.
+//   - A new entry replaces a cached one only if its value is higher by kReplacementMargin, at most `slots` /
+//   4
+//     times at once and kReplacementsPerSlot x `slots` times per time constant. Otherwise the new entry is
+//     evicted.
 #pragma once
 
 #include <cstddef>
@@ -33,83 +40,85 @@
 
 namespace myrtleloft {
 
-enum class WarmKind : std::uint8_t { kLearned, kConnection };
+enum class CacheEntryKind : std::uint8_t { kLearned, kConnection };
 
-// Why an item must stay, as bits.
-struct Binds {
-  static constexpr std::uint8_t kToldWait = 1, kDrain = 2, kColdReturn = 4, kCallOut = 8, kCopy = 16;
+// Reasons for which an entry must not be evicted, as bits.
+struct PinReason {
+  static constexpr std::uint8_t kRetryAfter = 1, kDrain = 2, kColdReturn = 4, kCallInFlight = 8,
+                                kPromisedCopy = 16;
 };
 
-struct WarmItem {
+struct CacheEntry {
   std::int64_t destination = 0;
-  WarmKind kind = WarmKind::kConnection;
-  std::uint8_t binds = 0;
-  bool fresh = false;      // not kept yet: it came just now
-  std::size_t bytes = 0;   // descriptors: one for a connection, none for what was learned
-  std::size_t behind = 0;  // idle connections of the same endpoint that are used before this one
-  double usualMs = 0;      // usual time of an answer; 0: not known
-  double coldCost = 1;     // worth, `coldCostOf`
-  std::size_t endpointHolds =
-      0;  // connections that the endpoint holds at once, of all relays; 0: not known, many
+  CacheEntryKind kind = CacheEntryKind::kConnection;
+  std::uint8_t pinReasons = 0;
+  bool isNew = false;                // the entry is a candidate that is not in the cache yet
+  std::size_t bytes = 0;             // a connection also uses one descriptor, learned state none
+  std::size_t connectionsAhead = 0;  // idle connections to the same endpoint that are used before this one
+  double typicalLatencyMs = 0;       // typical response time; 0 if unknown
+  double coldCost = 1;               // see coldCostOf
+  // Connections that the endpoint accepts at once from all relays; 0 if unknown or large.
+  std::size_t endpointConnectionLimit = 0;
 };
 
-struct WarmBudget {
-  std::size_t bytes = 0;        // `warm_kb`
+struct CacheBudget {
+  std::size_t bytes = 0;        // the setting `warm_kb`
   std::size_t descriptors = 0;  // for idle connections to endpoints
 };
 
-// What a decision rests on, as of one moment.
-struct KeepView {
-  std::vector<std::string> relays;  // of the building, alive, this one included
-  std::size_t buildings = 1;        // with relays
+// The inputs of a decision, all as of the same time.
+struct EvictionContext {
+  std::vector<std::string> relays;  // relays of the region that are alive, this one included
+  std::size_t regions = 1;          // regions that have relays
   std::function<Popularity(std::int64_t destination)> popularity;
-  // Others that hold such a thing warm.
-  std::function<std::vector<std::string>(std::int64_t destination, WarmKind)> holders;
+  // Returns the other relays that have an entry of this kind cached.
+  std::function<std::vector<std::string>(std::int64_t destination, CacheEntryKind)> holders;
 };
 
-// What one call loses by meeting its destination cold, in worth. Of a connection: a handshake's price (the
-// penalty of the settings) and what it takes of the time that the message may take. Of what was learned:
-// calls refused until the pace is found again.
-struct ColdFacts {
-  double worth = 1;  // of a usual message there
-  double handshakeMs = 0, aimMs = 0;
+struct ColdCostInputs {
+  double worth = 1;  // of a typical request to the destination
+  double handshakeMs = 0, latencyObjectiveMs = 0;
   double handshakePenalty = 0.02;
-  double refusedCalls = 0;  // by a start that knows nothing, on average
+  double rejectedCalls = 0;  // average number of calls rejected when starting without learned state
 };
-double coldCostOf(WarmKind kind, const ColdFacts& facts);
+// Returns the loss, in units of worth, of one call that meets its destination cold. For a connection this is
+// the handshake penalty of the settings plus the share of the latency objective that the handshake takes; for
+// learned state it is the number of calls rejected until the rate is found again.
+double coldCostOf(CacheEntryKind kind, const ColdCostInputs& inputs);
 
-class Keeper {
+class EvictionPolicy {
  public:
-  static constexpr double kMargin = 0.25, kTurnovers = 2;
-  // Share of an endpoint's connections that may be idle ones, all relays together.
+  static constexpr double kReplacementMargin = 0.25, kReplacementsPerSlot = 2;
+  // The share of an endpoint's connections that all relays together may hold idle.
   static constexpr double kIdleShare = 0.5;
   static constexpr std::size_t kLearnedCopies = 2;
 
   struct Options {
-    std::string me;
+    std::string relayName;
     double tauMs = 0;
-    std::size_t slots = 0;  // idle connections that there is room for; at least 1
+    std::size_t slots = 0;  // capacity in idle connections; at least 1
   };
-  explicit Keeper(Options options);
+  explicit EvictionPolicy(Options options);
 
-  // Which of `items` go now, so that the rest fits `budget`. O(items x (log items + relays)).
-  std::vector<std::size_t> evictions(double nowMs, const std::vector<WarmItem>& items,
-                                     const WarmBudget& budget, const KeepView& view);
+  // Returns the indexes of the entries to evict so that the others fit the budget.
+  // O(entries x (log entries + relays)).
+  std::vector<std::size_t> evictions(double nowMs, const std::vector<CacheEntry>& entries,
+                                     const CacheBudget& budget, const EvictionContext& context);
 
-  // How many relays of a building may keep idle connections at an endpoint that holds so many.
-  static std::size_t keepersAt(std::size_t endpointHolds, std::size_t buildings);
-  // Worth saved in a time constant.
-  double worthOf(const WarmItem& item, const KeepView& view) const;
-  // Whether it is the last copy of what is popular.
-  bool lastOfPopular(const WarmItem& item, const KeepView& view) const;
-  // Whether this relay may keep it at all.
-  bool mayKeep(const WarmItem& item, const KeepView& view) const;
-  // New ones that may take the place of kept ones now.
-  double turnsLeft(double nowMs) const;
+  // Returns how many relays of a region may hold idle connections to an endpoint with this connection limit.
+  static std::size_t allowedHolders(std::size_t endpointConnectionLimit, std::size_t regions);
+  // Returns the worth saved per time constant.
+  double valueOf(const CacheEntry& entry, const EvictionContext& context) const;
+  // Whether the entry is the last cached copy of a popular destination.
+  bool isLastPopularCopy(const CacheEntry& entry, const EvictionContext& context) const;
+  // Whether this relay may hold the entry at all.
+  bool mayRetain(const CacheEntry& entry, const EvictionContext& context) const;
+  // Returns how many cached entries may be replaced by new ones now.
+  double replacementsLeft(double nowMs) const;
 
  private:
   Options options_;
-  double turns_, turnsAtMs_ = 0;
+  double replacements_, replacementsAtMs_ = 0;
 };
 
 }  // namespace myrtleloft
--- a/src/popularity/messages.cpp
+++ b/src/popularity/messages.cpp
@@ -11,45 +11,50 @@
 namespace myrtleloft {
 namespace {
 
-constexpr char kAsk = 'A', kTold = 'T';
+constexpr char kRequestType = 'A', kResponseType = 'T';
 
-float up(double v) {
-  const auto f = static_cast<float>(v);
-  return f < v ? std::nextafter(f, std::numeric_limits<float>::infinity()) : f;
+float roundedUp(double value) {
+  const auto rounded = static_cast<float>(value);
+  return rounded < value ? std::nextafter(rounded, std::numeric_limits<float>::infinity()) : rounded;
 }
-float down(double v) {
-  const auto f = static_cast<float>(v);
-  return f > v ? std::nextafter(f, 0.0F) : f;
+float roundedDown(double value) {
+  const auto rounded = static_cast<float>(value);
+  return rounded > value ? std::nextafter(rounded, 0.0F) : rounded;
 }
 
-bool sound(double v) { return std::isfinite(v) && v >= 0; }
-bool soundAll(std::initializer_list<double> vs) { return std::all_of(vs.begin(), vs.end(), sound); }
+bool isValid(double value) { return std::isfinite(value) && value >= 0; }
+bool areValidNumbers(std::initializer_list<double> values) {
+  return std::all_of(values.begin(), values.end(), isValid);
+}
 
 template <typename T>
-bool rising(const std::vector<T>& table) {
+bool isStrictlySorted(const std::vector<T>& table) {
   return std::adjacent_find(table.begin(), table.end(), [](const T& a, const T& b) {
            return a.destination >= b.destination;
          }) == table.end();
 }
 
-bool sound(const CountsRegister& r, bool cell) {
-  return cell == r.relay.empty() && r.relay.size() <= kMostToldName &&
-         r.counts.entries.size() <= kMostToldEntries && r.warm.size() <= kMostToldMarks &&
-         soundAll({r.asOfWallMs, r.counts.floor, r.counts.total}) && rising(r.counts.entries) &&
-         rising(r.warm) && std::all_of(r.counts.entries.begin(), r.counts.entries.end(), [](const auto& e) {
-           return soundAll({e.count, e.error, e.calls}) && e.error <= e.count;
+bool isValid(const CountsRegister& r, bool cell) {
+  return cell == r.relay.empty() && r.relay.size() <= kMaxRelayNameBytes &&
+         r.counts.entries.size() <= kMaxRegisterEntries && r.cached.size() <= kMaxRegisterMarks &&
+         areValidNumbers({r.asOfWallMs, r.counts.floor, r.counts.total}) &&
+         isStrictlySorted(r.counts.entries) && isStrictlySorted(r.cached) &&
+         std::all_of(r.counts.entries.begin(), r.counts.entries.end(), [](const auto& e) {
+           return areValidNumbers({e.count, e.error, e.calls}) && e.error <= e.count;
          });
 }
-bool sound(const std::vector<CountsRegister>& registers, bool cell) {
-  return registers.size() <= kMostToldRegisters &&
-         std::all_of(registers.begin(), registers.end(), [cell](const auto& r) { return sound(r, cell); });
+bool isValid(const std::vector<CountsRegister>& registers, bool cell) {
+  return registers.size() <= kMaxMessageRegisters &&
+         std::all_of(registers.begin(), registers.end(), [cell](const auto& r) { return isValid(r, cell); });
 }
 
-bool sound(const std::optional<Aged>& part) { return !part || soundAll({part->value, part->ageMs}); }
-bool sound(const Hint& h) {
-  return !h.endpoint.empty() && h.endpoint.size() <= kMostToldEndpoint && sound(h.pacePerS) &&
-         sound(h.usualMs) && sound(h.refusedShare) && sound(h.ill) && sound(h.waitMs) &&
-         sound(h.connectionCap);
+bool isValid(const std::optional<AgedValue>& part) {
+  return !part || areValidNumbers({part->value, part->ageMs});
+}
+bool isValid(const Hint& h) {
+  return !h.endpoint.empty() && h.endpoint.size() <= kMaxEndpointBytes && isValid(h.ratePerS) &&
+         isValid(h.typicalLatencyMs) && isValid(h.rejectedShare) && isValid(h.outageProbability) &&
+         isValid(h.retryAfterMs) && isValid(h.connectionCap);
 }
 
 template <typename Message>
@@ -71,62 +76,65 @@
 
 }  // namespace
 
-// ---- the fields, for cereal ----
-void save(BufferOutputArchive& ar, const HeavyEntry& e) {
-  ar(e.destination, up(e.count), up(e.error), down(e.calls));
+// Field lists for cereal. Their order defines the encoding.
+void save(BufferOutputArchive& ar, const HeavyHitter& e) {
+  ar(e.destination, roundedUp(e.count), roundedUp(e.error), roundedDown(e.calls));
 }
-void load(BufferInputArchive& ar, HeavyEntry& e) {
+void load(BufferInputArchive& ar, HeavyHitter& e) {
   float count = 0, error = 0, calls = 0;
   ar(e.destination, count, error, calls);
   e.count = count, e.error = error, e.calls = calls;
 }
-void save(BufferOutputArchive& ar, const HeavySummary& s) { ar(up(s.floor), up(s.total), s.entries); }
-void load(BufferInputArchive& ar, HeavySummary& s) {
+void save(BufferOutputArchive& ar, const HeavyHitterSummary& s) {
+  ar(roundedUp(s.floor), roundedUp(s.total), s.entries);
+}
+void load(BufferInputArchive& ar, HeavyHitterSummary& s) {
   float floor = 0, total = 0;
   ar(floor, total, s.entries);
   s.floor = floor, s.total = total;
 }
 template <typename Archive>
-void serialize(Archive& ar, WarmMark& m) {
-  ar(m.destination, m.what);
+void serialize(Archive& ar, CachedMark& m) {
+  ar(m.destination, m.kinds);
 }
 template <typename Archive>
 void serialize(Archive& ar, CountsRegister& r) {
-  ar(r.relay, r.incarnation.life, r.incarnation.start, r.version, r.asOfWallMs, r.counts, r.warm);
+  ar(r.relay, r.incarnation.life, r.incarnation.start, r.version, r.asOfWallMs, r.counts, r.cached);
 }
 template <typename Archive>
 void serialize(Archive& ar, CountsMessage& m) {
   ar(m.layout, m.relays, m.cells);
 }
 template <typename Archive>
-void serialize(Archive& ar, HintAsk& a) {
-  ar(a.number, a.destination);
+void serialize(Archive& ar, HintRequest& a) {
+  ar(a.requestId, a.destination);
 }
-// A part that is not known is told as a negative age.
-void save(BufferOutputArchive& ar, const std::optional<Aged>& part) {
+// An unknown value is encoded with a negative age.
+void save(BufferOutputArchive& ar, const std::optional<AgedValue>& part) {
   ar(part ? part->value : 0, part ? part->ageMs : -1.0);
 }
-void load(BufferInputArchive& ar, std::optional<Aged>& part) {
-  Aged aged;
+void load(BufferInputArchive& ar, std::optional<AgedValue>& part) {
+  AgedValue aged;
   ar(aged.value, aged.ageMs);
   part = aged.ageMs == -1 ? std::nullopt : std::optional(aged);
 }
 template <typename Archive>
 void serialize(Archive& ar, Hint& h) {
-  ar(h.endpoint, h.pacePerS, h.usualMs, h.refusedShare, h.ill, h.waitMs, h.connectionCap);
+  ar(h.endpoint, h.ratePerS, h.typicalLatencyMs, h.rejectedShare, h.outageProbability, h.retryAfterMs,
+     h.connectionCap);
 }
 template <typename Archive>
-void serialize(Archive& ar, HintTold& t) {
-  ar(t.number, t.destination, t.hints);
+void serialize(Archive& ar, HintResponse& t) {
+  ar(t.requestId, t.destination, t.hints);
 }
 
 std::string encoded(const CountsMessage& message) { return bytesOf(message); }
-std::string encoded(const HintAsk& ask) { return bytesOf(ask, &kAsk); }
-std::string encoded(const HintTold& told) { return bytesOf(told, &kTold); }
+std::string encoded(const HintRequest& request) { return bytesOf(request, &kRequestType); }
+std::string encoded(const HintResponse& response) { return bytesOf(response, &kResponseType); }
 
 std::optional<CountsMessage> decodedCounts(std::string_view payload) {
   CountsMessage message;
-  if (!read(payload, message) || !sound(message.relays, false) || !sound(message.cells, true))
+  if (!read(payload, message) || !isValid(message.relays, false) || !isValid(message.cells, true))
     return std::nullopt;
   return message;
 }
@@ -136,12 +144,12 @@
   if (payload.empty()) return std::nullopt;
   const char type = payload.front();
   payload.remove_prefix(1);
-  if (type == kAsk && read(payload, message.ask.emplace())) return message;
-  message.ask.reset();
-  if (type != kTold || !read(payload, message.told.emplace())) return std::nullopt;
-  const std::vector<Hint>& hints = message.told->hints;
-  if (hints.size() > kMostToldEndpoints ||
-      !std::all_of(hints.begin(), hints.end(), [](const Hint& h) { return sound(h); }))
+  if (type == kRequestType && read(payload, message.request.emplace())) return message;
+  message.request.reset();
+  if (type != kResponseType || !read(payload, message.response.emplace())) return std::nullopt;
+  const std::vector<Hint>& hints = message.response->hints;
+  if (hints.size() > kMaxResponseHints ||
+      !std::all_of(hints.begin(), hints.end(), [](const Hint& h) { return isValid(h); }))
     return std::nullopt;
   return message;
 }
--- a/src/popularity/messages.h
+++ b/src/popularity/messages.h
@@ -1,13 +1,13 @@
-// What the relays of a building say to each other of popularity, and its bytes (cereal, as the journal's
-// records): FleetKind::kCounts carries a CountsMessage, kHint a HintAsk or a HintTold.
+// The popularity messages between the relays of a region and their encoding (cereal, as for journal records).
+// FleetKind::kCounts carries a CountsMessage, FleetKind::kHint a HintRequest or a HintResponse.
 //
 //   std::string bytes = encoded(message);
-//   if (auto message = decodedCounts(bytes)) ...      // nothing: not one of ours; the link is closed
+//   if (auto message = decodedCounts(bytes)) ...
 //
-// Decoding takes nothing that a relay would not have said: no more than the bounds below, names and texts no
-// longer than theirs, numbers finite and not negative, tables sorted, nothing behind the end. Counts travel
-// as 32-bit floats, rounded away from what they promise (count, error and floor up, calls down): a
-// ten-millionth. Safe for several threads; O(size).
+// Decoding returns std::nullopt for anything a relay would not send; the caller then closes the link. It
+// checks the limits below, that numbers are finite and not negative, that tables are sorted and that no bytes
+// follow. Counts are sent as 32-bit floats, rounded so that their bounds remain valid (count, error and floor
+// up, calls down), by at most a ten-millionth. Thread-safe; O(size).
 #pragma once
 
 #include <cstdint>
@@ -21,36 +21,37 @@
 
 namespace myrtleloft {
 
-inline constexpr std::size_t kMostToldEntries = 64;  // of a register
-inline constexpr std::size_t kMostToldMarks = 64;
-inline constexpr std::size_t kMostToldRegisters = 8;  // of one message, of relays and of cells each
-inline constexpr std::size_t kMostToldName = 64;      // of a relay
-inline constexpr std::size_t kMostToldEndpoint = 256;
-inline constexpr std::size_t kMostToldEndpoints = 32;  // of one destination
+inline constexpr std::size_t kMaxRegisterEntries = 64;
+inline constexpr std::size_t kMaxRegisterMarks = 64;
+inline constexpr std::size_t kMaxMessageRegisters = 8;  // for relays and for cells each
+inline constexpr std::size_t kMaxRelayNameBytes = 64;
+inline constexpr std::size_t kMaxEndpointBytes = 256;
+inline constexpr std::size_t kMaxResponseHints = 32;
 
 struct CountsMessage {
-  std::uint64_t layout = 0;  // of the sender's building; the cells below are of the same
+  std::uint64_t layout = 0;  // layout of the sender's region, to which the cells belong
   std::vector<CountsRegister> relays;
   std::vector<CountsRegister> cells;
 };
 
-struct HintAsk {
-  std::uint64_t number = 0;
+struct HintRequest {
+  std::uint64_t requestId = 0;
   std::int64_t destination = 0;
 };
-struct HintTold {
-  std::uint64_t number = 0;  // the question's
+struct HintResponse {
+  std::uint64_t requestId = 0;
   std::int64_t destination = 0;
-  std::vector<Hint> hints;  // empty: knows nothing of it
+  std::vector<Hint> hints;  // empty if the sender knows nothing of the destination
 };
+// Exactly one of the two members is set.
 struct HintMessage {
-  std::optional<HintAsk> ask;  // one of both
-  std::optional<HintTold> told;
+  std::optional<HintRequest> request;
+  std::optional<HintResponse> response;
 };
 
 std::string encoded(const CountsMessage& message);
-std::string encoded(const HintAsk& ask);
-std::string encoded(const HintTold& told);
+std::string encoded(const HintRequest& request);
+std::string encoded(const HintResponse& response);
 std::optional<CountsMessage> decodedCounts(std::string_view payload);
 std::optional<HintMessage> decodedHint(std::string_view payload);
 
--- a/src/popularity/rendezvous.h
+++ b/src/popularity/rendezvous.h
@@ -1,6 +1,6 @@
-// Who of several relays is meant for a destination: rendezvous hashing (Thaler and Ravishankar, 1998) over
-// XXH3. Whoever has the same names gets the same order, and a relay that comes or goes changes no other's
-// place. Safe for several threads.
+// Rendezvous hashing (Thaler and Ravishankar, 1998) over XXH3: selects the relays responsible for a
+// destination. All relays with the same list of names compute the same order, and adding or removing a relay
+// does not change the order of the others. Thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +11,12 @@
 
 namespace myrtleloft {
 
-// How many of `relays` go before `me`, which need not be among them. O(relays).
+// Returns how many of `relays` come before `name` in the order of the destination. `name` need not be one of
+// them. O(relays).
 std::size_t rendezvousRank(std::int64_t destination, const std::vector<std::string>& relays,
-                           std::string_view me);
+                           std::string_view name);
 
-// The same at every relay, whatever it was built by.
+// Returns the same value on every relay, independent of compiler and platform.
 std::uint64_t stableHash(std::string_view text);
 
 }  // namespace myrtleloft
--- a/tests/popularity_fleet.h
+++ b/tests/popularity_fleet.h
@@ -1,6 +1,6 @@
-// Relays of a few buildings in virtual time, with a drawn network between them: messages are late, lost,
-// doubled and out of order, links are cut, relays restart and go, clocks are apart. What was asked for is
-// kept to the digit beside it. Every message goes through its bytes.
+// Simulates the relays of several regions in virtual time, with a random network between them: messages are
+// delayed, lost, duplicated and reordered, links are cut, relays restart and stop, and clocks differ. Records
+// the exact requests for comparison. Every message is encoded and decoded.
 #pragma once
 
 #include <algorithm>
@@ -17,16 +17,16 @@
 
 namespace myrtleloft::testing {
 
-class DrawnFleet {
+class SimulatedFleet {
  public:
   struct Options {
-    int relays = 3, buildings = 1;
+    int relays = 3, regions = 1;
     double tauMs = 60000;
-    double skewMs = 0;  // clocks are apart from the true one by so much at the most
-    double lost = 0, doubled = 0, mostLateMs = 20;
+    double skewMs = 0;  // maximum offset of a relay's wall clock
+    double lossProbability = 0, duplicateProbability = 0, maxDelayMs = 20;
     std::uint64_t seed = 1;
   };
-  struct Ask {
+  struct Request {
     double atMs = 0;
     std::int64_t destination = 0;
     double worth = 1;
@@ -35,135 +35,139 @@
   };
   struct Relay {
     std::string name;
-    int building = 0;
+    int region = 0;
     std::uint64_t start = 0;
-    double skewMs = 0, diedMs = -1;  // -1: it lives
-    bool stranger = false;           // cut off from all others
-    std::unique_ptr<BuildingCounts> counts;
-    std::vector<WarmMark> warm;
-    std::uint64_t bytesOut = 0, bytesIn = 0, messagesOut = 0, mostOut = 0;
+    double skewMs = 0, stoppedMs = -1;  // -1 while the relay is running
+    bool disconnected = false;          // from all other relays
+    std::unique_ptr<RegionCounts> counts;
+    std::vector<CachedMark> cached;
+    std::uint64_t bytesOut = 0, bytesIn = 0, messagesOut = 0, maxMessageBytes = 0;
   };
 
-  explicit DrawnFleet(Options options) : options_(options), random_(options.seed) {
+  explicit SimulatedFleet(Options options) : options_(options), random_(options.seed) {
     relays_.resize(static_cast<std::size_t>(options.relays));
     for (std::size_t i = 0; i < relays_.size(); ++i) {
       Relay& r = relays_[i];
-      r.building = static_cast<int>(i) % options.buildings;
+      r.region = static_cast<int>(i) % options.regions;
       r.name = "n" + std::to_string(i);
-      r.skewMs = options.skewMs * (2 * unit(random_) - 1);
+      r.skewMs = options.skewMs * (2 * uniform(random_) - 1);
     }
     for (std::size_t i = 0; i < relays_.size(); ++i) start(i);
   }
 
-  // From nothing, with the next start of the same folder.
+  // Starts the relay without any counts, as the next start of the same data folder.
   void start(std::size_t i) {
     Relay& r = relays_[i];
     ++r.start;
-    r.diedMs = -1;
-    r.counts = std::make_unique<BuildingCounts>(BuildingCounts::Options{
-        r.name, {100 + i, r.start}, options_.tauMs, BuildingCounts::periodOf(options_.tauMs), random_()});
+    r.stoppedMs = -1;
+    r.counts = std::make_unique<RegionCounts>(RegionCounts::Options{
+        r.name, {100 + i, r.start}, options_.tauMs, RegionCounts::periodOf(options_.tauMs), random_()});
     std::vector<std::string> names;
     for (const Relay& other : relays_)
-      if (other.building == r.building) names.push_back(other.name);
-    r.counts->building(names);
+      if (other.region == r.region) names.push_back(other.name);
+    r.counts->setRelays(names);
   }
-  void stop(std::size_t i) { relays_[i].diedMs = nowMs_; }
-  void faults(double lost, double doubled, double mostLateMs) {
-    options_.lost = lost, options_.doubled = doubled, options_.mostLateMs = mostLateMs;
+  void stop(std::size_t i) { relays_[i].stoppedMs = nowMs_; }
+  void setFaults(double lossProbability, double duplicateProbability, double maxDelayMs) {
+    options_.lossProbability = lossProbability, options_.duplicateProbability = duplicateProbability,
+    options_.maxDelayMs = maxDelayMs;
   }
   // Whether messages between two relays arrive; all do by default.
   std::function<bool(const Relay&, const Relay&)> links = [](const Relay&, const Relay&) { return true; };
 
-  void ask(std::size_t i, std::int64_t destination, double worth) {
-    relays_[i].counts->asked(nowMs_, destination, worth);
-    asks_.push_back({nowMs_, destination, worth, i, relays_[i].start});
+  void recordRequest(std::size_t i, std::int64_t destination, double worth) {
+    relays_[i].counts->recordRequest(nowMs_, destination, worth);
+    requests_.push_back({nowMs_, destination, worth, i, relays_[i].start});
   }
-  // Moves on, telling and hearing.
+  // Advances the virtual time, with ticks and deliveries.
   void run(double spanMs, double stepMs = 250) {
     for (const double endMs = nowMs_ + spanMs; nowMs_ < endMs;) {
       nowMs_ += stepMs;
-      while (!onTheWay_.empty() && onTheWay_.top().atMs <= nowMs_) {
-        arrive(onTheWay_.top());
-        onTheWay_.pop();
+      while (!pending_.empty() && pending_.top().atMs <= nowMs_) {
+        deliver(pending_.top());
+        pending_.pop();
       }
       alive_.clear();
       for (const Relay& r : relays_)
-        if (r.diedMs < 0) alive_.push_back(r.name);
+        if (r.stoppedMs < 0) alive_.push_back(r.name);
       for (std::size_t i = 0; i < relays_.size(); ++i)
-        if (relays_[i].diedMs < 0) tick(i);
+        if (relays_[i].stoppedMs < 0) tick(i);
     }
   }
 
   double nowMs() const { return nowMs_; }
   std::vector<Relay>& relays() { return relays_; }
-  bool lives(std::size_t i) const { return relays_[i].diedMs < 0; }
-  // All that was asked for in a building and could be known: a start that is over is known up to what it said
-  // last to any that still knows it. `told`: whether to leave out what is not.
-  std::map<std::int64_t, double> exact(int building, bool told = true) const {
+  bool isAlive(std::size_t i) const { return relays_[i].stoppedMs < 0; }
+  // Returns the exact decayed worth of the requests of a region, by destination. Requests to a start of a
+  // relay that has ended are known up to the latest register of it that a running relay holds; with
+  // `knownOnly`, later ones are left out.
+  std::map<std::int64_t, double> exact(int region, bool knownOnly = true) const {
     std::map<std::int64_t, double> sums;
-    for (const Ask& a : asks_) {
-      const Relay& r = relays_[a.relay];
-      if (r.building != building) continue;
-      const bool over = r.diedMs >= 0 || r.start != a.start;
-      if (told && over && a.atMs > knownUntilMs(a.relay, a.start)) continue;
-      sums[a.destination] += a.worth * std::exp(-(nowMs_ - a.atMs) / options_.tauMs);
+    for (const Request& request : requests_) {
+      const Relay& r = relays_[request.relay];
+      if (r.region != region) continue;
+      const bool ended = r.stoppedMs >= 0 || r.start != request.start;
+      if (knownOnly && ended && request.atMs > knownUntilMs(request.relay, request.start)) continue;
+      sums[request.destination] += request.worth * std::exp(-(nowMs_ - request.atMs) / options_.tauMs);
     }
     return sums;
   }
   double knownUntilMs(std::size_t i, std::uint64_t start) const {
     double until = -1;
     for (const Relay& r : relays_) {
-      if (r.diedMs >= 0) continue;
-      const auto at = r.counts->near().registers().find({relays_[i].name, 100 + i, start});
-      if (at != r.counts->near().registers().end())
-        until = std::max(until, at->second.asOfWallMs - kEpochMs - relays_[i].skewMs);
+      if (r.stoppedMs >= 0) continue;
+      const auto found = r.counts->cellRelays().registers().find({relays_[i].name, 100 + i, start});
+      if (found != r.counts->cellRelays().registers().end())
+        until = std::max(until, found->second.asOfWallMs - kEpochMs - relays_[i].skewMs);
     }
-    return until - 1e-3;  // what came in that very moment came after it was told
+    return until - 1e-3;  // requests of the same instant were recorded after the register was sent
   }
 
  private:
   static constexpr double kEpochMs = 1e12;
-  struct Letter {
+  struct PendingMessage {
     double atMs = 0;
     std::size_t from = 0, to = 0;
     std::string bytes;
-    bool operator<(const Letter& other) const { return atMs > other.atMs; }  // the earliest is on top
+    // Puts the earliest message at the top of the queue.
+    bool operator<(const PendingMessage& other) const { return atMs > other.atMs; }
   };
 
-  Moment momentOf(const Relay& r) const { return {nowMs_, nowMs_ + kEpochMs + r.skewMs}; }
+  ClockReading clockOf(const Relay& r) const { return {nowMs_, nowMs_ + kEpochMs + r.skewMs}; }
   void tick(std::size_t i) {
     Relay& r = relays_[i];
-    // One that is cut off takes the others for dead.
-    const std::vector<std::string>& alive = r.stranger ? nobody_ : alive_;
-    for (const CountsSend& send : r.counts->onTick(momentOf(r), alive, r.warm)) {
-      Letter letter{nowMs_, i, static_cast<std::size_t>(std::stoi(send.peer.substr(1))),
-                    encoded(send.message)};
-      r.bytesOut += letter.bytes.size();
-      r.mostOut = std::max<std::uint64_t>(r.mostOut, letter.bytes.size());
+    // A disconnected relay considers all others dead.
+    const std::vector<std::string>& alive = r.disconnected ? noRelays_ : alive_;
+    for (const OutgoingCounts& send : r.counts->onTick(clockOf(r), alive, r.cached)) {
+      PendingMessage message{nowMs_, i, static_cast<std::size_t>(std::stoi(send.peer.substr(1))),
+                             encoded(send.message)};
+      r.bytesOut += message.bytes.size();
+      r.maxMessageBytes = std::max<std::uint64_t>(r.maxMessageBytes, message.bytes.size());
       ++r.messagesOut;
-      for (int copies = unit(random_) < options_.doubled ? 2 : 1; copies-- > 0;) {
-        letter.atMs = nowMs_ + options_.mostLateMs * unit(random_);
-        if (unit(random_) >= options_.lost) onTheWay_.push(letter);
+      for (int copies = uniform(random_) < options_.duplicateProbability ? 2 : 1; copies-- > 0;) {
+        message.atMs = nowMs_ + options_.maxDelayMs * uniform(random_);
+        if (uniform(random_) >= options_.lossProbability) pending_.push(message);
       }
     }
   }
-  void arrive(const Letter& letter) {
-    Relay& to = relays_[letter.to];
-    if (to.diedMs >= 0 || to.stranger || relays_[letter.from].stranger || !links(relays_[letter.from], to))
+  void deliver(const PendingMessage& message) {
+    Relay& to = relays_[message.to];
+    if (to.stoppedMs >= 0 || to.disconnected || relays_[message.from].disconnected ||
+        !links(relays_[message.from], to))
       return;
-    const auto message = decodedCounts(letter.bytes);
-    if (!message) std::abort();
-    to.bytesIn += letter.bytes.size();
-    to.counts->onCounts(momentOf(to), *message);
+    const auto counts = decodedCounts(message.bytes);
+    if (!counts) std::abort();
+    to.bytesIn += message.bytes.size();
+    to.counts->onCounts(clockOf(to), *counts);
   }
 
   Options options_;
   std::mt19937_64 random_;
   double nowMs_ = 0;
   std::vector<Relay> relays_;
-  std::vector<std::string> alive_, nobody_;
-  std::vector<Ask> asks_;
-  std::priority_queue<Letter> onTheWay_;
+  std::vector<std::string> alive_, noRelays_;
+  std::vector<Request> requests_;
+  std::priority_queue<PendingMessage> pending_;
 };
 
 }  // namespace myrtleloft::testing
--- a/tests/popularity_hint_test.cpp
+++ b/tests/popularity_hint_test.cpp
@@ -1,4 +1,4 @@
-// Hints may slow and nothing else; what travels comes back whole or not at all.
+// Tests that hints only restrict, the encoding of the messages, and HintRequester.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -9,175 +9,191 @@
 #include "tests/popularity_traces.h"
 
 using namespace myrtleloft;
-using testing::unit;
+using testing::uniform;
 
 namespace {
 
 constexpr double kInf = std::numeric_limits<double>::infinity();
-const HintFade kFade = HintFade::of(11000, 3000);
+const HintDecay kDecay = HintDecay::of(11000, 3000);
 
-std::optional<Aged> drawnPart(std::mt19937_64& random, double most) {
+std::optional<AgedValue> randomValue(std::mt19937_64& random, double limit) {
   if (random() % 4 == 0) return std::nullopt;
-  return Aged{most * unit(random), random() % 5 == 0 ? 0 : 30000 * unit(random)};
+  return AgedValue{limit * uniform(random), random() % 5 == 0 ? 0 : 30000 * uniform(random)};
 }
-Hint drawnHint(std::mt19937_64& random) {
+Hint randomHint(std::mt19937_64& random) {
   return {"e" + std::to_string(random() % 9),
-          drawnPart(random, 50),
-          drawnPart(random, 2000),
-          drawnPart(random, 1.5),
-          drawnPart(random, 3),
-          drawnPart(random, 40000),
-          drawnPart(random, 20)};
+          randomValue(random, 50),
+          randomValue(random, 2000),
+          randomValue(random, 1.5),
+          randomValue(random, 3),
+          randomValue(random, 40000),
+          randomValue(random, 20)};
 }
-Brakes drawnBrakes(std::mt19937_64& random) {
-  Brakes b;
-  if (random() % 2) b.pacePerS = 40 * unit(random);
-  if (random() % 2) b.usualMs = 1 + 500 * unit(random);
-  if (random() % 3 == 0) b.usualHintedMs = 500 * unit(random);
-  b.refusedShare = unit(random);
-  b.ill = 2 * unit(random);
-  if (random() % 2) b.waitUntilMs = 100000 * unit(random);
-  if (random() % 2) b.connectionCap = 1 + static_cast<double>(random() % 9);
-  b.draining = random() % 2;
-  b.bounded = random() % 2;
-  return b;
+Restrictions randomRestrictions(std::mt19937_64& random) {
+  Restrictions result;
+  if (random() % 2) result.ratePerS = 40 * uniform(random);
+  if (random() % 2) result.typicalLatencyMs = 1 + 500 * uniform(random);
+  if (random() % 3 == 0) result.hintedLatencyMs = 500 * uniform(random);
+  result.rejectedShare = uniform(random);
+  result.outageProbability = 2 * uniform(random);
+  if (random() % 2) result.blockedUntilMs = 100000 * uniform(random);
+  if (random() % 2) result.connectionCap = 1 + static_cast<double>(random() % 9);
+  result.draining = random() % 2;
+  result.rateBounded = random() % 2;
+  return result;
 }
 
 }  // namespace
 
-TEST_CASE("no hint frees anybody from anything, and neither order nor repetition matters") {
+TEST_CASE("a hint never relaxes a restriction, and neither order nor repetition of hints matters") {
   CHECK(rc::check("for every hint", [](std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    const Hint hint = drawnHint(random), other = drawnHint(random);
-    const Brakes own = drawnBrakes(random);
-    const double nowMs = 50000, heldMs = 5000 * unit(random);
-    const Brakes after = applied(hint, own, nowMs, heldMs, kFade);
-    RC_ASSERT(noFreer(after, own));
+    const Hint hint = randomHint(random), other = randomHint(random);
+    const Restrictions own = randomRestrictions(random);
+    const double nowMs = 50000, sinceReceivedMs = 5000 * uniform(random);
+    const Restrictions after = applyHint(hint, own, nowMs, sinceReceivedMs, kDecay);
+    RC_ASSERT(isAtLeastAsStrict(after, own));
     RC_ASSERT(after.draining == own.draining);
-    RC_ASSERT(after.bounded == own.bounded);
-    RC_ASSERT(after.usualMs == own.usualMs);
-    RC_ASSERT(after.ill <= std::max(own.ill, kMostHintedIll));
-    RC_ASSERT(after.waitUntilMs <= std::max(own.waitUntilMs, nowMs + kFade.mostWaitMs));
-    RC_ASSERT(after.pacePerS >= std::min(own.pacePerS, kFade.leastPacePerS));
-    RC_ASSERT(applied(hint, after, nowMs, heldMs, kFade) == after);
-    RC_ASSERT(applied(other, after, nowMs, heldMs, kFade) ==
-              applied(hint, applied(other, own, nowMs, heldMs, kFade), nowMs, heldMs, kFade));
-    // The older, the less it slows, and at last not at all.
-    RC_ASSERT(noFreer(after, applied(hint, own, nowMs, heldMs + 4000, kFade)));
-    RC_ASSERT(applied(hint, own, nowMs, kFade.forgetMs + 1, kFade) == own);
+    RC_ASSERT(after.rateBounded == own.rateBounded);
+    RC_ASSERT(after.typicalLatencyMs == own.typicalLatencyMs);
+    RC_ASSERT(after.outageProbability <= std::max(own.outageProbability, kMaxHintedOutageProbability));
+    RC_ASSERT(after.blockedUntilMs <= std::max(own.blockedUntilMs, nowMs + kDecay.maxWaitMs));
+    RC_ASSERT(after.ratePerS >= std::min(own.ratePerS, kDecay.minRatePerS));
+    RC_ASSERT(applyHint(hint, after, nowMs, sinceReceivedMs, kDecay) == after);
+    RC_ASSERT(applyHint(other, after, nowMs, sinceReceivedMs, kDecay) ==
+              applyHint(hint, applyHint(other, own, nowMs, sinceReceivedMs, kDecay), nowMs, sinceReceivedMs,
+                        kDecay));
+    // An older hint restricts less, and one beyond the maximum age has no effect.
+    RC_ASSERT(isAtLeastAsStrict(after, applyHint(hint, own, nowMs, sinceReceivedMs + 4000, kDecay)));
+    RC_ASSERT(applyHint(hint, own, nowMs, kDecay.maxAgeMs + 1, kDecay) == own);
   }));
 }
 
-TEST_CASE("a fresh hint slows one that knows nothing") {
-  const Hint hint{"e1", Aged{4, 0}, Aged{300, 0}, Aged{0.4, 0}, Aged{2, 0}, Aged{1500, 500}, Aged{3, 0}};
-  const Brakes b = applied(hint, {}, 1000, 100, kFade);
-  CHECK(b.pacePerS == doctest::Approx(4).epsilon(0.02));
-  CHECK(b.usualHintedMs == 300);
-  CHECK(b.refusedShare == doctest::Approx(0.4).epsilon(0.02));
-  CHECK(b.ill == doctest::Approx(kMostHintedIll).epsilon(0.02));
-  CHECK(b.waitUntilMs == 1000 + 900);
-  CHECK(b.connectionCap == 3);
-  CHECK_FALSE(noFreer(Brakes{}, b));
+TEST_CASE("a fresh hint restricts a relay without knowledge of its own") {
+  const Hint hint{"e1",
+                  AgedValue{4, 0},
+                  AgedValue{300, 0},
+                  AgedValue{0.4, 0},
+                  AgedValue{2, 0},
+                  AgedValue{1500, 500},
+                  AgedValue{3, 0}};
+  const Restrictions result = applyHint(hint, {}, 1000, 100, kDecay);
+  CHECK(result.ratePerS == doctest::Approx(4).epsilon(0.02));
+  CHECK(result.hintedLatencyMs == 300);
+  CHECK(result.rejectedShare == doctest::Approx(0.4).epsilon(0.02));
+  CHECK(result.outageProbability == doctest::Approx(kMaxHintedOutageProbability).epsilon(0.02));
+  CHECK(result.blockedUntilMs == 1000 + 900);
+  CHECK(result.connectionCap == 3);
+  CHECK_FALSE(isAtLeastAsStrict(Restrictions{}, result));
 }
 
-TEST_CASE("what is no number slows nobody") {
-  const Hint hint{"e1", Aged{NAN, 0}, Aged{-3, 0}, Aged{0.4, NAN}, Aged{kInf, 0}, Aged{kInf, 0}, Aged{2, -5}};
-  CHECK(applied(hint, {}, 1000, 0, kFade) == Brakes{});
+TEST_CASE("invalid numbers in a hint have no effect") {
+  const Hint hint{"e1",
+                  AgedValue{NAN, 0},
+                  AgedValue{-3, 0},
+                  AgedValue{0.4, NAN},
+                  AgedValue{kInf, 0},
+                  AgedValue{kInf, 0},
+                  AgedValue{2, -5}};
+  CHECK(applyHint(hint, {}, 1000, 0, kDecay) == Restrictions{});
 }
 
-TEST_CASE("messages come back as they were told, and torn or overlong ones not at all") {
+TEST_CASE("messages survive encoding and decoding, and truncated or overlong ones are rejected") {
   CHECK(rc::check("for every message", [](std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    CountsMessage m{random(), {}, {}};
-    for (std::size_t i = random() % (kMostToldRegisters + 1); i-- > 0;) {
+    CountsMessage message{random(), {}, {}};
+    for (std::size_t i = random() % (kMaxMessageRegisters + 1); i-- > 0;) {
       CountsRegister r{
-          "n" + std::to_string(i), {random(), random() % 9}, random(), 1e12 * unit(random), {}, {}};
-      for (std::size_t e = random() % (kMostToldEntries + 1); e-- > 0;) {
-        const double count = 1000 * unit(random);
+          "n" + std::to_string(i), {random(), random() % 9}, random(), 1e12 * uniform(random), {}, {}};
+      for (std::size_t e = random() % (kMaxRegisterEntries + 1); e-- > 0;) {
+        const double count = 1000 * uniform(random);
         const auto d = static_cast<std::int64_t>(100 - e);
-        r.counts.entries.push_back({d, count, count * unit(random), unit(random)});
-        r.warm.push_back({d, static_cast<std::uint8_t>(random() % 4)});
+        r.counts.entries.push_back({d, count, count * uniform(random), uniform(random)});
+        r.cached.push_back({d, static_cast<std::uint8_t>(random() % 4)});
       }
-      r.counts.floor = unit(random), r.counts.total = 5000;
-      m.relays.push_back(r);
+      r.counts.floor = uniform(random), r.counts.total = 5000;
+      message.relays.push_back(r);
       r.relay.clear();
-      m.cells.push_back(r);
+      message.cells.push_back(r);
     }
-    const std::string bytes = encoded(m);
-    const auto back = decodedCounts(bytes);
-    RC_ASSERT(back.has_value());
-    RC_ASSERT(encoded(*back) == bytes);  // rounded once, and never again
+    const std::string bytes = encoded(message);
+    const auto decoded = decodedCounts(bytes);
+    RC_ASSERT(decoded.has_value());
+    RC_ASSERT(encoded(*decoded) == bytes);  // encoding again rounds no further
     RC_ASSERT(bytes.size() < 32 * 1024);
-    for (std::size_t i = 0; i < m.relays.size(); ++i) {
-      const CountsRegister &was = m.relays[i], &is = back->relays[i];
-      RC_ASSERT(is.relay == was.relay && is.incarnation == was.incarnation && is.version == was.version);
-      RC_ASSERT(is.warm == was.warm && is.counts.floor >= was.counts.floor);
-      for (std::size_t e = 0; e < was.counts.entries.size(); ++e) {
-        const HeavyEntry &a = was.counts.entries[e], &b = is.counts.entries[e];
+    for (std::size_t i = 0; i < message.relays.size(); ++i) {
+      const CountsRegister &expected = message.relays[i], &actual = decoded->relays[i];
+      RC_ASSERT(actual.relay == expected.relay && actual.incarnation == expected.incarnation &&
+                actual.version == expected.version);
+      RC_ASSERT(actual.cached == expected.cached && actual.counts.floor >= expected.counts.floor);
+      for (std::size_t e = 0; e < expected.counts.entries.size(); ++e) {
+        const HeavyHitter &a = expected.counts.entries[e], &b = actual.counts.entries[e];
         RC_ASSERT(b.count >= a.count && b.error >= a.error && b.calls <= a.calls);
         RC_ASSERT(b.count <= a.count * 1.000001 && b.calls >= a.calls * 0.999999);
       }
     }
     RC_ASSERT(!decodedCounts(bytes.substr(0, random() % bytes.size())));
     RC_ASSERT(!decodedCounts(bytes + "x"));
-    std::string spoilt = bytes;
-    spoilt[random() % spoilt.size()] ^= static_cast<char>(1U << (random() % 8));
-    if (const auto taken = decodedCounts(spoilt)) RC_ASSERT(decodedCounts(encoded(*taken)).has_value());
-    const HintTold told{random(), 5, {drawnHint(random), drawnHint(random)}};
-    const auto hint = decodedHint(encoded(told));
-    RC_ASSERT(hint && hint->told && !hint->ask && encoded(*hint->told) == encoded(told));
-    const auto ask = decodedHint(encoded(HintAsk{7, -3}));
-    RC_ASSERT(ask && ask->ask && ask->ask->destination == -3);
+    std::string corrupted = bytes;
+    corrupted[random() % corrupted.size()] ^= static_cast<char>(1U << (random() % 8));
+    if (const auto decodedAgain = decodedCounts(corrupted))
+      RC_ASSERT(decodedCounts(encoded(*decodedAgain)).has_value());
+    const HintResponse response{random(), 5, {randomHint(random), randomHint(random)}};
+    const auto hint = decodedHint(encoded(response));
+    RC_ASSERT(hint && hint->response && !hint->request && encoded(*hint->response) == encoded(response));
+    const auto request = decodedHint(encoded(HintRequest{7, -3}));
+    RC_ASSERT(request && request->request && request->request->destination == -3);
   }));
 }
 
-TEST_CASE("what no relay would say is not taken") {
-  CountsRegister sound;
-  sound.relay = "n1";
+TEST_CASE("messages that no relay would send are rejected") {
+  CountsRegister valid;
+  valid.relay = "n1";
   for (const std::int64_t d : {1, 2}) {
-    sound.counts.entries.push_back({d, 2, 1, 1});
-    sound.warm.push_back({d, WarmMark::kLearned});
+    valid.counts.entries.push_back({d, 2, 1, 1});
+    valid.cached.push_back({d, CachedMark::kLearned});
   }
-  const auto taken = [](const CountsRegister& r) {
+  const auto decodedRegister = [](const CountsRegister& r) {
     return decodedCounts(encoded(CountsMessage{1, {r}, {}}));
   };
-  REQUIRE(taken(sound));
-  CountsRegister r = sound;
-  SUBCASE("no name") { r.relay.clear(); }
-  SUBCASE("a long name") { r.relay.assign(kMostToldName + 1, 'n'); }
-  SUBCASE("no number") { r.counts.entries[0].count = NAN; }
-  SUBCASE("an endless number") { r.counts.total = 1e300; }
-  SUBCASE("below nothing") { r.counts.floor = -1; }
-  SUBCASE("more error than count") { r.counts.entries[0].error = 3; }
-  SUBCASE("one twice") { r.counts.entries[1].destination = 1; }
-  SUBCASE("marks in disorder") { r.warm[0].destination = 9; }
-  SUBCASE("too many") {
+  REQUIRE(decodedRegister(valid));
+  CountsRegister r = valid;
+  SUBCASE("empty name") { r.relay.clear(); }
+  SUBCASE("name too long") { r.relay.assign(kMaxRelayNameBytes + 1, 'n'); }
+  SUBCASE("count is not a number") { r.counts.entries[0].count = NAN; }
+  SUBCASE("total is infinite as a 32-bit float") { r.counts.total = 1e300; }
+  SUBCASE("negative floor") { r.counts.floor = -1; }
+  SUBCASE("error above count") { r.counts.entries[0].error = 3; }
+  SUBCASE("duplicate destination") { r.counts.entries[1].destination = 1; }
+  SUBCASE("marks not sorted") { r.cached[0].destination = 9; }
+  SUBCASE("too many entries") {
     for (int d = 3; d < 90; ++d) r.counts.entries.push_back({d, 1, 0, 1});
   }
-  CHECK_FALSE(taken(r));
-  CHECK_FALSE(decodedCounts(encoded(CountsMessage{1, std::vector(kMostToldRegisters + 1, sound), {}})));
+  CHECK_FALSE(decodedRegister(r));
+  CHECK_FALSE(decodedCounts(encoded(CountsMessage{1, std::vector(kMaxMessageRegisters + 1, valid), {}})));
   CHECK_FALSE(decodedHint(""));
   CHECK_FALSE(decodedHint("X12345678"));
-  CHECK_FALSE(decodedHint(encoded(HintTold{1, 1, {Hint{}}})));
+  CHECK_FALSE(decodedHint(encoded(HintResponse{1, 1, {Hint{}}})));
 }
 
-TEST_CASE("the desk asks once, and takes only what it asked for, in time, from whom it asked") {
-  HintDesk desk;
-  const auto ask = desk.met(0, 5, {"n2"}, {"n3"});
-  REQUIRE(ask);
-  CHECK(ask->peer == "n2");
-  CHECK_FALSE(desk.met(100, 5, {"n2"}, {"n3"}));
-  CHECK_FALSE(desk.take(100, "n3", {ask->ask.number, 5, {}}));
-  CHECK_FALSE(desk.take(100, "n2", {ask->ask.number + 1, 5, {}}));
-  CHECK_FALSE(desk.take(100, "n2", {ask->ask.number, 6, {}}));
-  CHECK(desk.take(100, "n2", {ask->ask.number, 5, {}}));
-  CHECK_FALSE(desk.take(100, "n2", {ask->ask.number, 5, {}}));
-  const auto again = desk.met(HintDesk::kAgainMs, 5, {}, {"n3"});
-  REQUIRE(again);
-  CHECK(again->peer == "n3");
-  CHECK_FALSE(desk.take(2 * HintDesk::kAgainMs, "n3", {again->ask.number, 5, {}}));
-  CHECK_FALSE(desk.met(0, 6, {}, {}));
-  std::size_t out = 0;
-  for (std::int64_t d = 100; d < 400; ++d) out += desk.met(20000, d, {"n2"}, {}).has_value();
-  CHECK(out == HintDesk::kMostOut);
+TEST_CASE("a hint is requested once, and only a timely response of the requested relay is accepted") {
+  HintRequester requester;
+  const auto request = requester.requestFor(0, 5, {"n2"}, {"n3"});
+  REQUIRE(request);
+  CHECK(request->peer == "n2");
+  CHECK_FALSE(requester.requestFor(100, 5, {"n2"}, {"n3"}));
+  CHECK_FALSE(requester.accept(100, "n3", {request->request.requestId, 5, {}}));
+  CHECK_FALSE(requester.accept(100, "n2", {request->request.requestId + 1, 5, {}}));
+  CHECK_FALSE(requester.accept(100, "n2", {request->request.requestId, 6, {}}));
+  CHECK(requester.accept(100, "n2", {request->request.requestId, 5, {}}));
+  CHECK_FALSE(requester.accept(100, "n2", {request->request.requestId, 5, {}}));
+  const auto repeated = requester.requestFor(HintRequester::kRepeatAfterMs, 5, {}, {"n3"});
+  REQUIRE(repeated);
+  CHECK(repeated->peer == "n3");
+  CHECK_FALSE(
+      requester.accept(2 * HintRequester::kRepeatAfterMs, "n3", {repeated->request.requestId, 5, {}}));
+  CHECK_FALSE(requester.requestFor(0, 6, {}, {}));
+  std::size_t sent = 0;
+  for (std::int64_t d = 100; d < 400; ++d) sent += requester.requestFor(20000, d, {"n2"}, {}).has_value();
+  CHECK(sent == HintRequester::kMaxInFlight);
 }
--- a/tests/popularity_keeper_test.cpp
+++ b/tests/popularity_keeper_test.cpp
@@ -1,4 +1,5 @@
-// The keeper's rules, each by a case that fails without it, and its bounds over drawn traces.
+// Tests each rule of EvictionPolicy with a case that fails without the rule, and its limits over random
+// traces.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -16,227 +17,234 @@
 namespace {
 
 constexpr double kTauMs = 60000;
-const std::vector<std::string> kThree{"n1", "n2", "n3"};
-
-// A world in which everything is given.
-struct World {
-  std::map<std::int64_t, Popularity> asked;
-  std::map<std::int64_t, std::vector<std::string>> held;
-  std::vector<std::string> relays = kThree;
-  std::size_t buildings = 1;
-
-  KeepView view() const {
-    return {
-        relays, buildings, [this](std::int64_t d) { return asked.count(d) ? asked.at(d) : Popularity{}; },
-        [this](std::int64_t d, WarmKind) { return held.count(d) ? held.at(d) : std::vector<std::string>(); }};
+const std::vector<std::string> kRelays{"n1", "n2", "n3"};
+
+// An EvictionContext with given popularity and holders.
+struct TestContext {
+  std::map<std::int64_t, Popularity> popularity;
+  std::map<std::int64_t, std::vector<std::string>> holders;
+  std::vector<std::string> relays = kRelays;
+  std::size_t regions = 1;
+
+  EvictionContext context() const {
+    return {relays, regions,
+            [this](std::int64_t d) { return popularity.count(d) ? popularity.at(d) : Popularity{}; },
+            [this](std::int64_t d, CacheEntryKind) {
+              return holders.count(d) ? holders.at(d) : std::vector<std::string>();
+            }};
   }
 };
-Popularity asks(double here, double building = -1, double share = 0) {
-  return {here, building < 0 ? 3 * here : building, 0, 0, share, 3};
-}
-WarmItem link(std::int64_t destination, bool fresh = false) {
-  WarmItem item;
-  item.destination = destination;
-  item.bytes = 1000;
-  item.fresh = fresh;
-  return item;
-}
-WarmItem learned(std::int64_t destination) {
-  WarmItem item = link(destination);
-  item.kind = WarmKind::kLearned;
-  return item;
-}
-Keeper keeperOf(const std::string& me = "n1", std::size_t slots = 4) { return Keeper({me, kTauMs, slots}); }
-using Gone = std::vector<std::size_t>;
-const WarmBudget kTwo{1 << 20, 2};
-
-std::string firstFor(std::int64_t destination, std::size_t place = 0) {
-  for (const std::string& relay : kThree)
-    if (rendezvousRank(destination, kThree, relay) == place) return relay;
+Popularity demand(double localCalls, double regionCalls = -1, double share = 0) {
+  return {localCalls, regionCalls < 0 ? 3 * localCalls : regionCalls, 0, 0, share, 3};
+}
+CacheEntry conn(std::int64_t destination, bool isNew = false) {
+  CacheEntry entry;
+  entry.destination = destination;
+  entry.bytes = 1000;
+  entry.isNew = isNew;
+  return entry;
+}
+CacheEntry learned(std::int64_t destination) {
+  CacheEntry entry = conn(destination);
+  entry.kind = CacheEntryKind::kLearned;
+  return entry;
+}
+EvictionPolicy policyFor(const std::string& me = "n1", std::size_t slots = 4) {
+  return EvictionPolicy({me, kTauMs, slots});
+}
+using Evicted = std::vector<std::size_t>;
+const CacheBudget kTwoSlots{1 << 20, 2};
+
+std::string relayAtRank(std::int64_t destination, std::size_t rank = 0) {
+  for (const std::string& relay : kRelays)
+    if (rendezvousRank(destination, kRelays, relay) == rank) return relay;
   return {};
 }
 
 }  // namespace
 
-TEST_CASE("the least worth for its price goes: by calls, by what a cold call costs, by bytes") {
-  World w;
-  w.asked = {{1, asks(5)}, {2, asks(1)}, {3, asks(3)}};
-  CHECK(keeperOf().evictions(0, {link(1), link(2), link(3)}, kTwo, w.view()) == Gone{1});
-  std::vector<WarmItem> items{link(1), link(2), link(3)};
-  items[1].coldCost = 9;
-  CHECK(keeperOf().evictions(0, items, kTwo, w.view()) == Gone{2});
-  items = {learned(1), learned(3)};
-  items[0].bytes = 4000;
-  CHECK(keeperOf().evictions(0, items, {4500, 2}, w.view()) == Gone{0});
-  CHECK(keeperOf().evictions(0, items, {5000, 0}, w.view()).empty());
-}
-
-TEST_CASE("where descriptors are short, what was learned does not go for it") {
-  World w;
-  w.asked = {{1, asks(0)}, {2, asks(2)}, {3, asks(3)}};
-  CHECK(keeperOf().evictions(0, {learned(1), link(2), link(3)}, {1 << 20, 1}, w.view()) == Gone{1});
-}
-
-TEST_CASE("what binds never goes, though the bounds be passed") {
-  World w;
-  for (const std::uint8_t why :
-       {Binds::kToldWait, Binds::kDrain, Binds::kColdReturn, Binds::kCallOut, Binds::kCopy}) {
-    std::vector<WarmItem> items{link(1), link(2), link(3)};
-    for (WarmItem& item : items) item.binds = why;
-    CHECK(keeperOf().evictions(0, items, {0, 0}, w.view()).empty());
-    for (WarmItem& item : items) item.endpointHolds = 1;
-    CHECK(keeperOf().evictions(0, items, {0, 0}, w.view()).empty());
-    items[1].binds = 0;
-    CHECK(keeperOf().evictions(0, items, {0, 0}, w.view()) == Gone{1});
+TEST_CASE("the entry with the lowest value for its price is evicted: by calls, by cold cost, by bytes") {
+  TestContext test;
+  test.popularity = {{1, demand(5)}, {2, demand(1)}, {3, demand(3)}};
+  CHECK(policyFor().evictions(0, {conn(1), conn(2), conn(3)}, kTwoSlots, test.context()) == Evicted{1});
+  std::vector<CacheEntry> entries{conn(1), conn(2), conn(3)};
+  entries[1].coldCost = 9;
+  CHECK(policyFor().evictions(0, entries, kTwoSlots, test.context()) == Evicted{2});
+  entries = {learned(1), learned(3)};
+  entries[0].bytes = 4000;
+  CHECK(policyFor().evictions(0, entries, {4500, 2}, test.context()) == Evicted{0});
+  CHECK(policyFor().evictions(0, entries, {5000, 0}, test.context()).empty());
+}
+
+TEST_CASE("learned state is not evicted when only descriptors are short") {
+  TestContext test;
+  test.popularity = {{1, demand(0)}, {2, demand(2)}, {3, demand(3)}};
+  CHECK(policyFor().evictions(0, {learned(1), conn(2), conn(3)}, {1 << 20, 1}, test.context()) == Evicted{1});
+}
+
+TEST_CASE("pinned entries are never evicted, even over budget") {
+  TestContext test;
+  for (const std::uint8_t reason : {PinReason::kRetryAfter, PinReason::kDrain, PinReason::kColdReturn,
+                                    PinReason::kCallInFlight, PinReason::kPromisedCopy}) {
+    std::vector<CacheEntry> entries{conn(1), conn(2), conn(3)};
+    for (CacheEntry& entry : entries) entry.pinReasons = reason;
+    CHECK(policyFor().evictions(0, entries, {0, 0}, test.context()).empty());
+    for (CacheEntry& entry : entries) entry.endpointConnectionLimit = 1;
+    CHECK(policyFor().evictions(0, entries, {0, 0}, test.context()).empty());
+    entries[1].pinReasons = 0;
+    CHECK(policyFor().evictions(0, entries, {0, 0}, test.context()) == Evicted{1});
   }
 }
 
-TEST_CASE("the last warm copy of what is popular goes after the second of any, and one of two is the last") {
-  World w;
-  w.asked = {{1, asks(2, 2, 0.3)}, {2, asks(9)}, {3, asks(8)}};
-  w.held = {{2, {"n2"}}, {3, {"n2"}}};
-  CHECK(keeperOf().evictions(0, {link(1), link(2), link(3)}, kTwo, w.view()) == Gone{2});
-  w.held[1] = {firstFor(1)};  // another holds it who is the last
-  const std::string second = firstFor(1, 1);
-  CHECK(keeperOf(second).evictions(0, {link(1), link(2), link(3)}, kTwo, w.view()) == Gone{0});
-  w.held[1] = {second};
-  CHECK(keeperOf(firstFor(1)).evictions(0, {link(1), link(2), link(3)}, kTwo, w.view()) == Gone{2});
-  // Not popular: it is one of many.
-  w.held.erase(1);
-  w.asked[1] = asks(2, 2, 0.2);
-  CHECK(keeperOf().evictions(0, {link(1), link(2), link(3)}, kTwo, w.view()) == Gone{0});
-  // A second connection to the same endpoint is no last copy.
-  w.asked[1].share = 0.3;
-  std::vector<WarmItem> items{link(1), link(2), link(3)};
-  items[0].behind = 1;
-  CHECK(keeperOf().evictions(0, items, kTwo, w.view()) == Gone{0});
-}
-
-TEST_CASE("relays of one view agree who keeps idle connections where an endpoint holds few") {
-  for (const std::size_t holds : {1, 2, 3, 4, 7, 20, 61})
-    for (const std::size_t buildings : {1, 3})
+TEST_CASE("the last copy of a popular destination is evicted last, and exactly one of two holders has it") {
+  TestContext test;
+  test.popularity = {{1, demand(2, 2, 0.3)}, {2, demand(9)}, {3, demand(8)}};
+  test.holders = {{2, {"n2"}}, {3, {"n2"}}};
+  CHECK(policyFor().evictions(0, {conn(1), conn(2), conn(3)}, kTwoSlots, test.context()) == Evicted{2});
+  test.holders[1] = {relayAtRank(1)};  // another relay has the last copy
+  const std::string second = relayAtRank(1, 1);
+  CHECK(policyFor(second).evictions(0, {conn(1), conn(2), conn(3)}, kTwoSlots, test.context()) == Evicted{0});
+  test.holders[1] = {second};
+  CHECK(policyFor(relayAtRank(1)).evictions(0, {conn(1), conn(2), conn(3)}, kTwoSlots, test.context()) ==
+        Evicted{2});
+  // The destination is not popular: its share is below 1 / slots.
+  test.holders.erase(1);
+  test.popularity[1] = demand(2, 2, 0.2);
+  CHECK(policyFor().evictions(0, {conn(1), conn(2), conn(3)}, kTwoSlots, test.context()) == Evicted{0});
+  // A second connection to the same endpoint is not a last copy.
+  test.popularity[1].share = 0.3;
+  std::vector<CacheEntry> entries{conn(1), conn(2), conn(3)};
+  entries[0].connectionsAhead = 1;
+  CHECK(policyFor().evictions(0, entries, kTwoSlots, test.context()) == Evicted{0});
+}
+
+TEST_CASE("relays agree which of them hold idle connections to an endpoint with few connections") {
+  for (const std::size_t connectionLimit : {1, 2, 3, 4, 7, 20, 61})
+    for (const std::size_t regions : {1, 3})
       for (std::int64_t d = 0; d < 40; ++d) {
         std::size_t idle = 0;
-        for (const std::string& me : kThree) {
-          World w;
-          w.buildings = buildings;
-          std::vector<WarmItem> items;
-          for (std::size_t behind = 0; behind < 30; ++behind) {
-            items.push_back(link(d));
-            items.back().endpointHolds = holds;
-            items.back().behind = behind;
+        for (const std::string& me : kRelays) {
+          TestContext test;
+          test.regions = regions;
+          std::vector<CacheEntry> entries;
+          for (std::size_t connectionsAhead = 0; connectionsAhead < 30; ++connectionsAhead) {
+            entries.push_back(conn(d));
+            entries.back().endpointConnectionLimit = connectionLimit;
+            entries.back().connectionsAhead = connectionsAhead;
           }
-          idle += items.size() - keeperOf(me).evictions(0, items, {1 << 20, 100}, w.view()).size();
+          idle += entries.size() - policyFor(me).evictions(0, entries, {1 << 20, 100}, test.context()).size();
         }
-        CHECK(idle * buildings <= static_cast<std::size_t>(holds * Keeper::kIdleShare));
-        if (holds >= 2 * buildings) CHECK(idle > 0);
+        CHECK(idle * regions <= static_cast<std::size_t>(connectionLimit * EvictionPolicy::kIdleShare));
+        if (connectionLimit >= 2 * regions) CHECK(idle > 0);
       }
-  // A relay that goes hands its part to one other, and no other destination changes hands.
-  std::set<std::int64_t> moved;
+  // If a relay leaves, only its destinations are reassigned.
+  std::set<std::int64_t> reassigned;
   for (std::int64_t d = 0; d < 300; ++d) {
-    World w;
-    WarmItem item = link(d);
-    item.endpointHolds = 2;
-    const bool before = keeperOf("n1").mayKeep(item, w.view());
-    w.relays = {"n1", "n2"};
-    if (before != keeperOf("n1").mayKeep(item, w.view())) moved.insert(d);
-    if (before) CHECK(keeperOf("n1").mayKeep(item, w.view()));
+    TestContext test;
+    CacheEntry entry = conn(d);
+    entry.endpointConnectionLimit = 2;
+    const bool before = policyFor("n1").mayRetain(entry, test.context());
+    test.relays = {"n1", "n2"};
+    if (before != policyFor("n1").mayRetain(entry, test.context())) reassigned.insert(d);
+    if (before) CHECK(policyFor("n1").mayRetain(entry, test.context()));
   }
-  CHECK(moved.size() > 25);
-  CHECK(moved.size() < 75);
+  CHECK(reassigned.size() > 25);
+  CHECK(reassigned.size() < 75);
 }
 
-TEST_CASE("together relays keep what was learned of more destinations than each by itself would") {
-  // Twelve destinations that all three are asked for alike, room for six each.
+TEST_CASE("relays together hold learned state of more destinations than a single relay could") {
+  // Twelve destinations with the same demand at all three relays, each of which has capacity for six.
   std::map<std::int64_t, int> copies;
-  std::map<std::string, std::set<std::int64_t>> kept;
-  for (const std::string& me : kThree)
-    for (std::int64_t d = 0; d < 12; ++d) kept[me].insert(d);
+  std::map<std::string, std::set<std::int64_t>> cached;
+  for (const std::string& me : kRelays)
+    for (std::int64_t d = 0; d < 12; ++d) cached[me].insert(d);
   for (int round = 0; round < 3; ++round)
-    for (const std::string& me : kThree) {
-      World w;
-      std::vector<WarmItem> items;
-      for (const std::int64_t d : kept[me]) {
-        items.push_back(learned(d));
-        w.asked[d] = asks(12.0 - static_cast<double>(d) / 2);
-        for (const std::string& other : kThree)
-          if (other != me && kept[other].count(d)) w.held[d].push_back(other);
+    for (const std::string& me : kRelays) {
+      TestContext test;
+      std::vector<CacheEntry> entries;
+      for (const std::int64_t d : cached[me]) {
+        entries.push_back(learned(d));
+        test.popularity[d] = demand(12.0 - static_cast<double>(d) / 2);
+        for (const std::string& other : kRelays)
+          if (other != me && cached[other].count(d)) test.holders[d].push_back(other);
       }
-      std::set<std::int64_t> gone;
-      for (const std::size_t i : keeperOf(me).evictions(0, items, {6000, 0}, w.view()))
-        gone.insert(items[i].destination);
-      for (const std::int64_t d : gone) kept[me].erase(d);
+      std::set<std::int64_t> evicted;
+      for (const std::size_t i : policyFor(me).evictions(0, entries, {6000, 0}, test.context()))
+        evicted.insert(entries[i].destination);
+      for (const std::int64_t d : evicted) cached[me].erase(d);
     }
-  for (const auto& [me, destinations] : kept) {
+  for (const auto& [me, destinations] : cached) {
     CHECK(destinations.size() == 6);
     for (const std::int64_t d : destinations) ++copies[d];
   }
-  CHECK(copies.size() > 9);  // by own counts alone all would keep the same six
+  CHECK(copies.size() > 9);  // with local counts only, all relays would hold the same six
 }
 
-TEST_CASE("a keeper counts the building's calls, and what a neighbour can tell is worth little") {
-  std::vector<std::int64_t> mine, others;  // that n1 is a keeper of, and not
-  for (std::int64_t d = 0; d < 40; ++d) (firstFor(d, 2) == "n1" ? others : mine).push_back(d);
-  World w;
-  w.asked = {{mine[0], asks(1, 30)}, {others[0], asks(8)}, {others[1], asks(5)}};
-  CHECK(keeperOf().evictions(0, {learned(mine[0]), learned(others[0])}, {1000, 0}, w.view()) == Gone{1});
-  const std::vector<WarmItem> both{learned(others[0]), learned(others[1])};
-  CHECK(keeperOf().evictions(0, both, {1000, 0}, w.view()) == Gone{1});
-  w.held[others[0]] = {"n2"};
-  CHECK(keeperOf().evictions(0, both, {1000, 0}, w.view()) == Gone{0});
+TEST_CASE("retaining relays value the region's calls, and entries held by another relay have little value") {
+  std::vector<std::int64_t> retained, others;  // destinations that n1 retains for the region, and others
+  for (std::int64_t d = 0; d < 40; ++d) (relayAtRank(d, 2) == "n1" ? others : retained).push_back(d);
+  TestContext test;
+  test.popularity = {{retained[0], demand(1, 30)}, {others[0], demand(8)}, {others[1], demand(5)}};
+  CHECK(policyFor().evictions(0, {learned(retained[0]), learned(others[0])}, {1000, 0}, test.context()) ==
+        Evicted{1});
+  const std::vector<CacheEntry> both{learned(others[0]), learned(others[1])};
+  CHECK(policyFor().evictions(0, both, {1000, 0}, test.context()) == Evicted{1});
+  test.holders[others[0]] = {"n2"};
+  CHECK(policyFor().evictions(0, both, {1000, 0}, test.context()) == Evicted{0});
 }
 
-TEST_CASE("what is new takes a place only if it is worth more by a margin") {
-  World w;
-  w.asked = {{1, asks(4)}, {2, asks(4)}, {3, asks(4.9)}};
-  CHECK(keeperOf().evictions(0, {link(1), link(2), link(3, true)}, kTwo, w.view()) == Gone{2});
-  w.asked[3] = asks(5.1);
-  CHECK(keeperOf().evictions(0, {link(1), link(2), link(3, true)}, kTwo, w.view()) == Gone{0});
+TEST_CASE("a new entry replaces a cached one only if its value is higher by the margin") {
+  TestContext test;
+  test.popularity = {{1, demand(4)}, {2, demand(4)}, {3, demand(4.9)}};
+  CHECK(policyFor().evictions(0, {conn(1), conn(2), conn(3, true)}, kTwoSlots, test.context()) == Evicted{2});
+  test.popularity[3] = demand(5.1);
+  CHECK(policyFor().evictions(0, {conn(1), conn(2), conn(3, true)}, kTwoSlots, test.context()) == Evicted{0});
 }
 
-TEST_CASE("takeovers of places are bounded over any span, however counts jump") {
+TEST_CASE("replacements per time constant are limited for arbitrarily changing counts") {
   std::mt19937_64 random(11);
   const std::size_t slots = 8;
-  Keeper keeper = keeperOf("n1", slots);
-  World w;
-  std::set<std::int64_t> kept;
-  std::deque<double> taken;
+  EvictionPolicy policy = policyFor("n1", slots);
+  TestContext test;
+  std::set<std::int64_t> cached;
+  std::deque<double> replacedAtMs;
   double nowMs = 0;
-  std::size_t all = 0;
+  std::size_t replacements = 0;
   for (int i = 0; i < 20000; ++i) {
-    nowMs += 200 * testing::unit(random);
-    const auto fresh = static_cast<std::int64_t>(random() % 40);
-    if (kept.count(fresh)) continue;
-    for (std::int64_t d = 0; d < 40; ++d) w.asked[d] = asks(100 * testing::unit(random));
-    std::vector<WarmItem> items;
-    for (const std::int64_t d : kept) items.push_back(link(d));
-    items.push_back(link(fresh, true));
-    kept.insert(fresh);
-    for (const std::size_t g : keeper.evictions(nowMs, items, {1 << 20, slots}, w.view())) {
-      kept.erase(items[g].destination);
-      if (!items[g].fresh) taken.push_back(nowMs), ++all;
+    nowMs += 200 * testing::uniform(random);
+    const auto candidate = static_cast<std::int64_t>(random() % 40);
+    if (cached.count(candidate)) continue;
+    for (std::int64_t d = 0; d < 40; ++d) test.popularity[d] = demand(100 * testing::uniform(random));
+    std::vector<CacheEntry> entries;
+    for (const std::int64_t d : cached) entries.push_back(conn(d));
+    entries.push_back(conn(candidate, true));
+    cached.insert(candidate);
+    for (const std::size_t g : policy.evictions(nowMs, entries, {1 << 20, slots}, test.context())) {
+      cached.erase(entries[g].destination);
+      if (!entries[g].isNew) replacedAtMs.push_back(nowMs), ++replacements;
     }
-    REQUIRE(kept.size() <= slots);
-    while (!taken.empty() && taken.front() < nowMs - kTauMs) taken.pop_front();
-    CHECK(static_cast<double>(taken.size()) <= slots / 4.0 + Keeper::kTurnovers * slots);
+    REQUIRE(cached.size() <= slots);
+    while (!replacedAtMs.empty() && replacedAtMs.front() < nowMs - kTauMs) replacedAtMs.pop_front();
+    CHECK(static_cast<double>(replacedAtMs.size()) <=
+          slots / 4.0 + EvictionPolicy::kReplacementsPerSlot * slots);
   }
-  CHECK(all > 300);  // it was tried
+  CHECK(replacements > 300);  // the limit was exercised
 }
 
-TEST_CASE("no turns left: what was kept stays, unless only that keeps the bounds") {
-  World w;
-  w.asked = {{1, asks(1)}, {2, asks(1)}, {3, asks(100)}};
-  Keeper keeper = keeperOf();
-  CHECK(keeper.evictions(0, {link(1), link(2), link(3, true)}, kTwo, w.view()) == Gone{0});
-  CHECK(keeper.evictions(1, {link(1), link(2), link(3, true)}, kTwo, w.view()) == Gone{2});
-  std::vector<WarmItem> items{link(1), link(2), link(3, true)};
-  items[2].binds = Binds::kCallOut;
-  CHECK(keeper.evictions(2, items, kTwo, w.view()) == Gone{0});
-  CHECK(keeper.evictions(kTauMs, {link(1), link(2), link(3, true)}, kTwo, w.view()) == Gone{0});
+TEST_CASE("without replacements left, cached entries stay unless the budget requires an eviction") {
+  TestContext test;
+  test.popularity = {{1, demand(1)}, {2, demand(1)}, {3, demand(100)}};
+  EvictionPolicy policy = policyFor();
+  CHECK(policy.evictions(0, {conn(1), conn(2), conn(3, true)}, kTwoSlots, test.context()) == Evicted{0});
+  CHECK(policy.evictions(1, {conn(1), conn(2), conn(3, true)}, kTwoSlots, test.context()) == Evicted{2});
+  std::vector<CacheEntry> entries{conn(1), conn(2), conn(3, true)};
+  entries[2].pinReasons = PinReason::kCallInFlight;
+  CHECK(policy.evictions(2, entries, kTwoSlots, test.context()) == Evicted{0});
+  CHECK(policy.evictions(kTauMs, {conn(1), conn(2), conn(3, true)}, kTwoSlots, test.context()) == Evicted{0});
 }
 
-TEST_CASE("what a cold call costs follows from the settings and from what was seen") {
-  CHECK(coldCostOf(WarmKind::kConnection, {2, 100, 1000, 0.02, 5}) == doctest::Approx(2 * 0.12));
-  CHECK(coldCostOf(WarmKind::kConnection, {2, 5000, 1000, 0.02, 5}) == doctest::Approx(2 * 1.02));
-  CHECK(coldCostOf(WarmKind::kLearned, {2, 100, 1000, 0.02, 5}) == doctest::Approx(10));
+TEST_CASE("the cold cost follows from settings and observations") {
+  CHECK(coldCostOf(CacheEntryKind::kConnection, {2, 100, 1000, 0.02, 5}) == doctest::Approx(2 * 0.12));
+  CHECK(coldCostOf(CacheEntryKind::kConnection, {2, 5000, 1000, 0.02, 5}) == doctest::Approx(2 * 1.02));
+  CHECK(coldCostOf(CacheEntryKind::kLearned, {2, 100, 1000, 0.02, 5}) == doctest::Approx(10));
 }
