--- a/src/copies/contents.cpp
+++ b/src/copies/contents.cpp
@@ -5,51 +5,52 @@
 
 namespace myrtleloft {
 
-const PendingRequest* Contents::find(const std::string& id) const {
+const PendingRequest* PendingTable::find(const std::string& id) const {
   const auto at = requests_.find(id);
   return at == requests_.end() ? nullptr : &at->second;
 }
 
-void Contents::put(PendingRequest request) {
-  PendingRequest& kept = requests_[request.id];
-  if (!kept.id.empty()) bytes_ -= encodedSize(kept);
+void PendingTable::put(PendingRequest request) {
+  PendingRequest& entry = requests_[request.id];
+  if (!entry.id.empty()) bytes_ -= encodedSize(entry);
   bytes_ += encodedSize(request);
-  kept = std::move(request);
+  entry = std::move(request);
 }
 
-std::string Contents::apply(Record record) {
-  if (auto* taken = std::get_if<AcceptedRecord>(&record)) {
-    std::string id = taken->pending.id;
-    put(std::move(taken->pending));
+std::string PendingTable::apply(Record record) {
+  if (auto* accepted = std::get_if<AcceptedRecord>(&record)) {
+    std::string id = accepted->pending.id;
+    put(std::move(accepted->pending));
     return id;
   }
   std::string id;
   const auto at = std::visit(
-      [&](const auto& r) {
-        if constexpr (requires { r.id; }) id = r.id;
+      [&](const auto& value) {
+        if constexpr (requires { value.id; }) id = value.id;
         return requests_.find(id);
       },
       record);
   if (at == requests_.end()) return id;
-  PendingRequest& owed = at->second;
-  bytes_ -= encodedSize(owed);
+  PendingRequest& pendingRequest = at->second;
+  bytes_ -= encodedSize(pendingRequest);
   if (std::holds_alternative<CompletedRecord>(record)) {
     requests_.erase(at);
     return id;
   }
   if (auto* attempt = std::get_if<AttemptRecord>(&record)) {
-    owed.attempts = std::max(owed.attempts, attempt->attempt.attempt + 1);
-    std::erase_if(owed.ambiguousAttempts,
-                  [&](const RecordedAttempt& d) { return d.attempt == attempt->attempt.attempt; });
-    owed.ambiguousAttempts.push_back(std::move(attempt->attempt));
-  } else if (const auto* harmless = std::get_if<NotExecutedRecord>(&record)) {
-    std::erase_if(owed.ambiguousAttempts,
-                  [&](const RecordedAttempt& d) { return d.attempt == harmless->attempt; });
-  } else if (const auto* given = std::get_if<FinalStatusRecord>(&record)) {
-    owed.status = given->status;
-    owed.retryAfterMs = given->retryAfterMs;
+    pendingRequest.attempts = std::max(pendingRequest.attempts, attempt->attempt.attempt + 1);
+    std::erase_if(pendingRequest.ambiguousAttempts, [&](const RecordedAttempt& recorded) {
+      return recorded.attempt == attempt->attempt.attempt;
+    });
+    pendingRequest.ambiguousAttempts.push_back(std::move(attempt->attempt));
+  } else if (const auto* notExecuted = std::get_if<NotExecutedRecord>(&record)) {
+    std::erase_if(pendingRequest.ambiguousAttempts,
+                  [&](const RecordedAttempt& recorded) { return recorded.attempt == notExecuted->attempt; });
+  } else if (const auto* finalStatus = std::get_if<FinalStatusRecord>(&record)) {
+    pendingRequest.status = finalStatus->status;
+    pendingRequest.retryAfterMs = finalStatus->retryAfterMs;
   }
-  bytes_ += encodedSize(owed);
+  bytes_ += encodedSize(pendingRequest);
   return id;
 }
 
--- a/src/copies/contents.h
+++ b/src/copies/contents.h
@@ -1,7 +1,8 @@
-// What is owed under a ledger, by id: the sum of its records. The same at its owner and its holders. No I/O.
+// The pending requests of one ledger by id, built by applying its records. The ledger's owner and its
+// replicas build the same table. No I/O.
 //
-// A record about a request that is not there changes nothing: it is over, or comes later as a whole.
-// O(log n) a record.
+// A record for a request that is not in the table has no effect: the request has completed, or its current
+// state will be copied later. Each operation costs O(log n).
 #pragma once
 
 #include <cstddef>
@@ -12,11 +13,11 @@
 
 namespace myrtleloft {
 
-class Contents {
+class PendingTable {
  public:
   using Requests = std::map<std::string, PendingRequest, std::less<>>;
 
-  // The id that the record is about; empty: about none.
+  // Returns the id of the request that the record concerns, or an empty string if it concerns none.
   std::string apply(Record record);
   void put(PendingRequest request);
   const Requests& requests() const { return requests_; }
@@ -25,7 +26,7 @@
 
  private:
   Requests requests_;
-  std::size_t bytes_ = 0;  // as records
+  std::size_t bytes_ = 0;  // encoded size of all requests
 };
 
 }  // namespace myrtleloft
--- a/src/copies/copies.cpp
+++ b/src/copies/copies.cpp
@@ -12,193 +12,199 @@
 constexpr char kOwnKey[] = "own/";
 }
 
-Copies::Copies(CopiesSetup setup, const Stored& stored,
-               std::map<LedgerId, std::vector<PendingRequest>> recovered, double nowMs, CopyStep& out)
+Replication::Replication(ReplicationSetup setup, const StoredEntries& stored,
+                         std::map<LedgerId, std::vector<PendingRequest>> recovered, double nowMs,
+                         ReplicationStep& out)
     : setup_(std::move(setup)),
-      voter_({setup_.name, setup_.self.life, setup_.others}, stored, out),
-      holder_(setup_.self.life, setup_.roomBytes, stored),
-      shares_(setup_.shares),
-      tickedMs_(nowMs) {
-  all_ = setup_.others;
-  all_.push_back(setup_.name);
-  std::sort(all_.begin(), all_.end());
+      acceptor_({setup_.name, setup_.self.life, setup_.others}, stored, out),
+      replica_(setup_.self.life, setup_.capacityBytes, stored),
+      shards_(setup_.shards),
+      lastTickMs_(nowMs) {
+  relays_ = setup_.others;
+  relays_.push_back(setup_.name);
+  std::sort(relays_.begin(), relays_.end());
   for (auto at = stored.lower_bound(kOwnKey); at != stored.end() && at->first.starts_with(kOwnKey); ++at) {
     LedgerId id;
     if (!read(std::string_view(at->first).substr(sizeof kOwnKey - 1), id)) continue;
-    Case& c = begin(id, Stage::kLooking);
-    c.requests = std::move(recovered[id]);
-    c.proposer.look(nowMs, random(), out);
+    ManagedLedger& managed = beginLedger(id, Stage::kReadingRegister);
+    managed.requests = std::move(recovered[id]);
+    managed.proposer.readCurrent(nowMs, random(), out);
   }
-  deliverOwn(nowMs, out);
+  deliverToSelf(nowMs, out);
 }
 
-std::uint64_t Copies::random() {  // SplitMix64
+std::uint64_t Replication::random() {  // SplitMix64
   std::uint64_t z = (setup_.seed += 0x9e3779b97f4a7c15);
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9;
   z = (z ^ (z >> 27)) * 0x94d049bb133111eb;
   return z ^ (z >> 31);
 }
 
-Copies::Case& Copies::begin(const LedgerId& id, Stage stage) {
-  Case& c = cases_.insert_or_assign(id, Case(Proposer(id, all_))).first->second;
-  c.stage = stage;
-  return c;
+Replication::ManagedLedger& Replication::beginLedger(const LedgerId& id, Stage stage) {
+  ManagedLedger& managed = ledgers_.insert_or_assign(id, ManagedLedger(Proposer(id, relays_))).first->second;
+  managed.stage = stage;
+  return managed;
 }
 
-void Copies::ask(Case& c, LedgerState there, LedgerState wanted, double nowMs, CopyStep& out) {
-  c.asked = wanted;
-  c.proposer.change(std::move(there), std::move(wanted), nowMs, random(), out);
+void Replication::propose(ManagedLedger& managed, LedgerState current, LedgerState desired, double nowMs,
+                          ReplicationStep& out) {
+  managed.proposedState = desired;
+  managed.proposer.change(std::move(current), std::move(desired), nowMs, random(), out);
 }
 
-void Copies::own(const LedgerId& id, Case& c, const LedgerState& state,
-                 std::vector<PendingRequest> requests) {
-  c.stage = Stage::kOwned;
-  c.takeover.reset();
-  c.ledger.emplace(id, state, std::move(requests), setup_.spanMs);
+void Replication::becomeOwner(const LedgerId& id, ManagedLedger& managed, const LedgerState& state,
+                              std::vector<PendingRequest> requests) {
+  managed.stage = Stage::kOwned;
+  managed.takeover.reset();
+  managed.ledger.emplace(id, state, std::move(requests), setup_.leaseMs);
 }
 
-void Copies::giveUp(const LedgerId& id, Case& c, CopyStep& out) {
-  c.stage = Stage::kVoid;
-  c.ledger.reset();
-  c.takeover.reset();
-  c.requests.clear();
+void Replication::abandon(const LedgerId& id, ManagedLedger& managed, ReplicationStep& out) {
+  managed.stage = Stage::kLost;
+  managed.ledger.reset();
+  managed.takeover.reset();
+  managed.requests.clear();
   out.stores.push_back({kOwnKey + bytesOf(id), {}});
-  out.news.push_back({CopyNewsKind::kVoid, id, c.proposer.decided().value_or(LedgerState{}), 0, 0, {}});
-  for (auto& share : shares_)
-    if (share == id) share.reset();
+  out.events.push_back(
+      {ReplicationEventKind::kLost, id, managed.proposer.decided().value_or(LedgerState{}), 0, 0, {}});
+  for (auto& shard : shards_)
+    if (shard == id) shard.reset();
 }
 
-void Copies::adopted(const LedgerId& ledger, CopyStep& out) {
+void Replication::onRequestsJournaled(const LedgerId& ledger, ReplicationStep& out) {
   out.stores.push_back({kOwnKey + bytesOf(ledger), "1"});
 }
 
-void Copies::onDecided(const LedgerId& id, Case& c, double nowMs, CopyStep& out) {
-  const LedgerState state = *c.proposer.decided();
-  const bool asAsked = state == c.asked;
-  switch (c.stage) {
+void Replication::onDecided(const LedgerId& id, ManagedLedger& managed, double nowMs, ReplicationStep& out) {
+  const LedgerState state = *managed.proposer.decided();
+  const bool asAsked = state == managed.proposedState;
+  switch (managed.stage) {
     case Stage::kOpening:
-      if (!asAsked) return giveUp(id, c, out);
-      own(id, c, state, {});
-      adopted(id, out);
+      if (!asAsked) return abandon(id, managed, out);
+      becomeOwner(id, managed, state, {});
+      onRequestsJournaled(id, out);
       break;
-    case Stage::kLooking:
-    case Stage::kClaiming:
-      if (c.stage == Stage::kClaiming && asAsked) {
-        auto requests = std::move(c.requests);
-        own(id, c, state, requests);
-        out.news.push_back({CopyNewsKind::kTakenOver, id, state, 0, nowMs, std::move(requests)});
-      } else if (state.epoch == 0 || mine(state)) {
-        LedgerState wanted = state;
-        ++wanted.epoch;
-        wanted.owner = setup_.name;
-        wanted.start = setup_.self;
-        if (state.epoch == 0) wanted.ensemble = holdersFor(id, nullptr);
-        c.stage = Stage::kClaiming;
-        return ask(c, state, std::move(wanted), nowMs, out);
+    case Stage::kReadingRegister:
+    case Stage::kResuming:
+      if (managed.stage == Stage::kResuming && asAsked) {
+        auto requests = std::move(managed.requests);
+        becomeOwner(id, managed, state, requests);
+        out.events.push_back({ReplicationEventKind::kTakenOver, id, state, 0, nowMs, std::move(requests)});
+      } else if (state.epoch == 0 || isOwnedHere(state)) {
+        LedgerState desired = state;
+        ++desired.epoch;
+        desired.owner = setup_.name;
+        desired.start = setup_.self;
+        if (state.epoch == 0) desired.ensemble = replicasFor(id, nullptr);
+        managed.stage = Stage::kResuming;
+        return propose(managed, state, std::move(desired), nowMs, out);
       } else {
-        return giveUp(id, c, out);
+        return abandon(id, managed, out);
       }
       break;
-    case Stage::kTaking:
+    case Stage::kAcquiring:
       if (!asAsked) {
-        cases_.erase(id);
+        ledgers_.erase(id);
         return;
       }
-      c.stage = Stage::kReading;
-      c.takeover.emplace(id, state);
-      c.takeover->onTick(nowMs, out);
+      managed.stage = Stage::kFencing;
+      managed.takeover.emplace(id, state);
+      managed.takeover->onTick(nowMs, out);
       break;
     case Stage::kOwned:
-      if (state.owner != setup_.name || state.start != setup_.self) return giveUp(id, c, out);
-      c.ledger->decided(state);
+      if (state.owner != setup_.name || state.start != setup_.self) return abandon(id, managed, out);
+      managed.ledger->applyDecision(state);
       break;
-    case Stage::kReading:
-    case Stage::kVoid:
+    case Stage::kFencing:
+    case Stage::kLost:
       return;
   }
-  out.news.push_back({CopyNewsKind::kOwned, id, state, 0, 0, {}});
+  out.events.push_back({ReplicationEventKind::kOwned, id, state, 0, 0, {}});
 }
 
-void Copies::onFenced(const std::string& from, const FencedMessage& fenced, double nowMs, CopyStep& out) {
-  const auto at = cases_.find(fenced.ledger);
-  if (at == cases_.end() || !at->second.takeover) return;
-  Case& c = at->second;
-  c.takeover->onFenced(from, fenced, nowMs, out);
-  if (c.takeover->beaten()) {
-    cases_.erase(at);  // the register will say by whom
+void Replication::onFenceResponse(const std::string& from, const FenceResponse& response, double nowMs,
+                                  ReplicationStep& out) {
+  const auto at = ledgers_.find(response.ledger);
+  if (at == ledgers_.end() || !at->second.takeover) return;
+  ManagedLedger& managed = at->second;
+  managed.takeover->onFenceResponse(from, response, nowMs, out);
+  if (managed.takeover->superseded()) {
+    ledgers_.erase(at);  // a later owner has taken over, as the register will show
     return;
   }
-  if (!c.takeover->done()) return;
-  const LedgerState state = c.takeover->state();
-  // By the own clock, from when the fence was told: it stood before.
-  const double waitMs = planted(Flaw::kHeirDoesNotWait) ? 0 : setup_.spanMs * (1 + 2 * setup_.rateShare);
-  const double fromMs = c.takeover->fencedMs() + waitMs;
-  auto requests = c.takeover->requests();
-  own(fenced.ledger, c, state, requests);
-  out.news.push_back({CopyNewsKind::kTakenOver, fenced.ledger, state, 0, fromMs, std::move(requests)});
+  if (!managed.takeover->done()) return;
+  const LedgerState state = managed.takeover->state();
+  // Measured by the local clock from the arrival of the fence response; the fence was set earlier.
+  const double waitMs =
+      isInjected(InjectedBug::kNewOwnerDoesNotWait) ? 0 : setup_.leaseMs * (1 + 2 * setup_.clockDriftShare);
+  const double fromMs = managed.takeover->fencedMs() + waitMs;
+  auto requests = managed.takeover->requests();
+  becomeOwner(response.ledger, managed, state, requests);
+  out.events.push_back(
+      {ReplicationEventKind::kTakenOver, response.ledger, state, 0, fromMs, std::move(requests)});
 }
 
-bool Copies::onMessage(const std::string& from, FleetKind kind, std::string_view payload, double nowMs,
-                       CopyStep& out) {
+bool Replication::onMessage(const std::string& from, FleetKind kind, std::string_view payload, double nowMs,
+                            ReplicationStep& out) {
   if (!handle(from, kind, payload, nowMs, out)) return false;
-  deliverOwn(nowMs, out);
+  deliverToSelf(nowMs, out);
   return true;
 }
 
-bool Copies::handle(const std::string& from, FleetKind kind, std::string_view payload, double nowMs,
-                    CopyStep& out) {
+bool Replication::handle(const std::string& from, FleetKind kind, std::string_view payload, double nowMs,
+                         ReplicationStep& out) {
   switch (kind) {
     case FleetKind::kVoteAsk: {
-      VoteAsk ask;
-      if (!decode(payload, ask)) return false;
-      if (auto vote = voter_.onAsk(from, ask, out))
-        out.sends.push_back({from, FleetKind::kVote, encode(*vote)});
+      AcceptorRequest request;
+      if (!decode(payload, request)) return false;
+      if (auto response = acceptor_.onRequest(from, request, out))
+        out.sends.push_back({from, FleetKind::kVote, encode(*response)});
       return true;
     }
     case FleetKind::kVote: {
-      Vote vote;
-      if (!decode(payload, vote)) return false;
-      if (vote.phase == VotePhase::kJoin) {
-        voter_.onVote(from, vote, out);
+      AcceptorResponse response;
+      if (!decode(payload, response)) return false;
+      if (response.phase == RequestPhase::kJoin) {
+        acceptor_.onResponse(from, response, out);
         return true;
       }
-      const auto at = cases_.find(vote.ledger);
-      if (at == cases_.end() || !at->second.proposer.busy()) return true;
-      at->second.proposer.onVote(from, vote, nowMs, random(), out);
-      if (!at->second.proposer.busy()) onDecided(vote.ledger, at->second, nowMs, out);
+      const auto at = ledgers_.find(response.ledger);
+      if (at == ledgers_.end() || !at->second.proposer.busy()) return true;
+      at->second.proposer.onResponse(from, response, nowMs, random(), out);
+      if (!at->second.proposer.busy()) onDecided(response.ledger, at->second, nowMs, out);
       return true;
     }
     case FleetKind::kCopy: {
-      CopyMessage copy;
+      CopyRequest copy;
       if (!decode(payload, copy)) return false;
-      out.sends.push_back({from, FleetKind::kHeld, encode(holder_.onCopy(copy, out))});
+      out.sends.push_back({from, FleetKind::kHeld, encode(replica_.onCopy(copy, out))});
       return true;
     }
     case FleetKind::kHeld: {
-      HeldMessage held;
-      if (!decode(payload, held)) return false;
-      const auto at = cases_.find(held.ledger);
-      if (at == cases_.end() || !at->second.ledger) return true;
-      Case& c = at->second;
-      if (held.as == HeldAs::kFencedOff) {
-        if (held.fenced > c.ledger->state().epoch && !c.proposer.busy())
-          c.proposer.look(nowMs, random(), out);
+      CopyAck ack;
+      if (!decode(payload, ack)) return false;
+      const auto at = ledgers_.find(ack.ledger);
+      if (at == ledgers_.end() || !at->second.ledger) return true;
+      ManagedLedger& managed = at->second;
+      if (ack.outcome == CopyOutcome::kRejectedByFence) {
+        if (ack.fenced > managed.ledger->state().epoch && !managed.proposer.busy())
+          managed.proposer.readCurrent(nowMs, random(), out);
         return true;
       }
-      c.ledger->onHeld(from, held);
-      tellPromised(held.ledger, c, out);
+      managed.ledger->onCopyAck(from, ack);
+      reportDurable(ack.ledger, managed, out);
       return true;
     }
     case FleetKind::kFence: {
-      FenceMessage fence;
+      FenceRequest fence;
       if (!decode(payload, fence)) return false;
-      out.sends.push_back({from, FleetKind::kFenced, encode(holder_.onFence(fence, out))});
+      out.sends.push_back({from, FleetKind::kFenced, encode(replica_.onFence(fence, out))});
       return true;
     }
     case FleetKind::kFenced: {
-      FencedMessage fenced;
-      if (!decode(payload, fenced)) return false;
-      onFenced(from, fenced, nowMs, out);
+      FenceResponse response;
+      if (!decode(payload, response)) return false;
+      onFenceResponse(from, response, nowMs, out);
       return true;
     }
     default:
@@ -206,12 +212,12 @@
   }
 }
 
-void Copies::deliverOwn(double nowMs, CopyStep& out) {
+void Replication::deliverToSelf(double nowMs, ReplicationStep& out) {
   for (bool again = true; again;) {
     again = false;
-    std::vector<CopySend> sends;
+    std::vector<OutgoingMessage> sends;
     sends.swap(out.sends);
-    for (CopySend& send : sends) {
+    for (OutgoingMessage& send : sends) {
       if (send.to != setup_.name) {
         out.sends.push_back(std::move(send));
         continue;
--- a/src/copies/copies.h
+++ b/src/copies/copies.h
@@ -1,17 +1,18 @@
-// What is owed, copied: one relay's part in it, all of it decided without I/O; time and a seed are passed in.
+// Replication of accepted requests among relays: this relay's decisions as owner, replica and acceptor. No
+// I/O; time and a random seed are passed in.
 //
-//   Copies copies(setup, stored, recovered, nowMs, step);
-//   copies.onMember({"n2", Standing::kAlive, incarnation, "east", 1}, nowMs);
-//   copies.onTick(nowMs, step);                                // every few ms
-//   bool ours = copies.onMessage("n2", kind, payload, nowMs, step);
-//   if (auto put = copies.take(request, nowMs, step)) ...      // the 202 goes out at news kPromised of
-//   put->position auto at = copies.put(ledger, AttemptRecord{...}, true, nowMs, step); if
-//   (copies.mayBegin(ledger, *at, nowMs)) ...               // at the last moment before the first byte
+//   Replication replication(setup, stored, recovered, nowMs, step);
+//   replication.onMember({"n2", Standing::kAlive, incarnation, "east", 1});
+//   replication.onTick(nowMs, step);                           // every few milliseconds
+//   bool handled = replication.onMessage("n2", kind, payload, nowMs, step);
+//   if (auto put = replication.accept(request, nowMs, step)) ...   // answer 202 at kDurable of put->position
+//   auto at = replication.put(ledger, AttemptRecord{...}, true, nowMs, step);
+//   if (replication.mayStartCall(ledger, *at, nowMs)) ...      // check just before sending the first byte
 //
-// After each call: `step.stores`, then `step.sends` and `step.news` (step.h).  docs/design/copies.md says
-// why.
+// After each call, perform `step.stores`, then `step.sends` and `step.events` (step.h). The design is
+// described in docs/design/copies.md.
 //
-// Costs: a tick O(ledgers + registers), a record O(log n) and a message for each holder.
+// A tick costs O(ledgers + registers); a record costs O(log n) and one message to each replica.
 #pragma once
 
 #include <cstdint>
@@ -33,125 +34,135 @@
 
 namespace myrtleloft {
 
-struct CopiesSetup {
+struct ReplicationSetup {
   std::string name, building;
   Incarnation self;
   std::vector<std::string> others;  // all other relays of the fleet
-  std::size_t copies = 2;
-  bool alone = false;  // `when_short`: takes on with fewer copies
-  std::uint32_t shares = 8;
-  // How long after its record was sent a call may begin; an heir waits so long, and longer by `rateShare`, by
-  // which the clocks of two relays may run apart.
-  double spanMs = 2000, rateShare = 0.01;
-  double heirStepMs = 400;  // from one would-be heir to the next
-  std::size_t roomBytes = 8 << 20;
-  double bytesPerMs = 4096;  // of tables copied anew
+  std::size_t replicaCount = 2;
+  bool allowFewerReplicas = false;  // setting `when_short`: accept requests with fewer replicas
+  std::uint32_t shards = 8;
+  // A call may start up to `leaseMs` after its record was sent. A new owner waits for that time plus the
+  // clock drift allowance: `clockDriftShare` is the largest relative drift between the clocks of two relays.
+  double leaseMs = 2000, clockDriftShare = 0.01;
+  double takeoverStepMs = 400;  // delay between the takeover attempts of successive candidates
+  std::size_t capacityBytes = 8 << 20;
+  double bytesPerMs = 4096;  // rate limit for copying tables to new replicas
   std::uint64_t seed = 1;
-  std::function<double(const PendingRequest&)> worthOf = [](const PendingRequest&) { return 1.0; };
+  std::function<double(const PendingRequest&)> priorityOf = [](const PendingRequest&) { return 1.0; };
 };
 
-struct CopiesMember {
+struct ReplicationMember {
   std::string name;
   Standing standing = Standing::kUnknown;
   Incarnation incarnation;
   std::string building;
-  double room = 1;
+  double freeCapacity = 1;
 };
 
-class Copies {
+class Replication {
  public:
-  // `recovered`: what the own journal says is owed, by ledger.
-  Copies(CopiesSetup setup, const Stored& stored, std::map<LedgerId, std::vector<PendingRequest>> recovered,
-         double nowMs, CopyStep& out);
+  // `recovered`: the pending requests in the local journal, by ledger.
+  Replication(ReplicationSetup setup, const StoredEntries& stored,
+              std::map<LedgerId, std::vector<PendingRequest>> recovered, double nowMs, ReplicationStep& out);
 
-  struct Put {
+  struct RecordPosition {
     LedgerId ledger;
     std::uint64_t position = 0;
   };
 
-  void onMember(CopiesMember member) { members_[member.name] = std::move(member); }
-  void onTick(double nowMs, CopyStep& out);
-  // false: not a message of ours.
+  void onMember(ReplicationMember member) { members_[member.name] = std::move(member); }
+  void onTick(double nowMs, ReplicationStep& out);
+  // Returns false if the message is malformed or of another kind.
   bool onMessage(const std::string& from, FleetKind kind, std::string_view payload, double nowMs,
-                 CopyStep& out);
-  // None: there are too few copies for it now; refuse it.
-  std::optional<Put> take(PendingRequest request, double nowMs, CopyStep& out);
-  // `now`: at once; else with the next tick. None: the ledger is not owned here any more.
-  std::optional<std::uint64_t> put(const LedgerId& ledger, const Record& record, bool now, double nowMs,
-                                   CopyStep& out);
-  bool mayBegin(const LedgerId& ledger, std::uint64_t position, double nowMs) const;
-  // What was told with kTakenOver is in the own journal: after a restart it need not be read again.
-  void adopted(const LedgerId& ledger, CopyStep& out);
+                 ReplicationStep& out);
+  // Returns std::nullopt if there are too few replicas now; the caller must reject the request.
+  std::optional<RecordPosition> accept(PendingRequest request, double nowMs, ReplicationStep& out);
+  // `flushNow`: send at once instead of with the next tick. Returns std::nullopt if this relay no longer owns
+  // the ledger.
+  std::optional<std::uint64_t> put(const LedgerId& ledger, const Record& record, bool flushNow, double nowMs,
+                                   ReplicationStep& out);
+  // Whether the records up to `position` are durable and the lease of the ledger has not expired.
+  bool mayStartCall(const LedgerId& ledger, std::uint64_t position, double nowMs) const;
+  // Reports that the requests of event kTakenOver are in the local journal and need not be read from a
+  // replica after a restart.
+  void onRequestsJournaled(const LedgerId& ledger, ReplicationStep& out);
+  // Returns nullptr if this relay does not own the ledger.
   const LedgerState* owned(const LedgerId& ledger) const;
-  const Voter& voter() const { return voter_; }
-  const Holder& holder() const { return holder_; }
-  std::size_t sharesOpen() const;
-  // All that is owned here is held by as many as it should be, and nothing is being changed.
+  const Acceptor& acceptor() const { return acceptor_; }
+  const Replica& replica() const { return replica_; }
+  // The number of shards that can accept requests.
+  std::size_t openShardCount() const;
+  // Whether all ledgers owned here have the configured number of complete replicas and no change is in
+  // progress.
   bool settled() const;
   template <typename Archive>
   void fingerprint(Archive& ar) const {
-    voter_.fingerprint(ar);
-    holder_.fingerprint(ar);
-    for (const auto& [id, c] : cases_) {
-      ar(id, c.stage, c.asked, c.told);
-      c.proposer.fingerprint(ar);
-      if (c.ledger) c.ledger->fingerprint(ar);
-      if (c.takeover) c.takeover->fingerprint(ar);
+    acceptor_.fingerprint(ar);
+    replica_.fingerprint(ar);
+    for (const auto& [id, managed] : ledgers_) {
+      ar(id, managed.stage, managed.proposedState, managed.reportedPosition);
+      managed.proposer.fingerprint(ar);
+      if (managed.ledger) managed.ledger->fingerprint(ar);
+      if (managed.takeover) managed.takeover->fingerprint(ar);
     }
   }
 
  private:
-  // What this relay has to do with a ledger of its own, or one that it takes over.
+  // The stage of a ledger that this relay owns, opens or takes over.
   enum class Stage : std::uint8_t {
-    kOpening,   // a new one: asks the register for it
-    kLooking,   // its own of an earlier start: asks what became of it
-    kClaiming,  // it is still the owner: asks to go on
-    kTaking,    // another's: asks to be the owner
-    kReading,   // fences and reads
+    kOpening,          // a new ledger: creating its register
+    kReadingRegister,  // a ledger of an earlier start: reading its register
+    kResuming,         // still the owner: registering the new incarnation
+    kAcquiring,        // another relay's ledger: proposing this relay as owner
+    kFencing,          // fencing the replicas and reading the requests
     kOwned,
-    kVoid,
+    kLost,
   };
-  struct Case {
-    explicit Case(Proposer p) : proposer(std::move(p)) {}
+  struct ManagedLedger {
+    explicit ManagedLedger(Proposer p) : proposer(std::move(p)) {}
     Stage stage = Stage::kOpening;
     Proposer proposer;
-    LedgerState asked;
-    std::vector<PendingRequest> requests;  // recovered
+    LedgerState proposedState;
+    std::vector<PendingRequest> requests;  // pending requests recovered from the journal
     std::optional<Ledger> ledger;
     std::optional<Takeover> takeover;
-    std::uint64_t told = 0;  // promised, and said so
+    std::uint64_t reportedPosition = 0;  // durable position last reported by an event
   };
 
-  Case& begin(const LedgerId& id, Stage stage);
-  void ask(Case& c, LedgerState there, LedgerState wanted, double nowMs, CopyStep& out);
-  void onDecided(const LedgerId& id, Case& c, double nowMs, CopyStep& out);
-  void own(const LedgerId& id, Case& c, const LedgerState& state, std::vector<PendingRequest> requests);
-  void giveUp(const LedgerId& id, Case& c, CopyStep& out);
-  void onFenced(const std::string& from, const FencedMessage& fenced, double nowMs, CopyStep& out);
-  void tellPromised(const LedgerId& id, Case& c, CopyStep& out);
-  void tickLedgers(double nowMs, CopyStep& out);
-  void openShares(double nowMs, CopyStep& out);
-  void takeOver(double nowMs, CopyStep& out);
-  bool gone(const LedgerState& state) const;
-  bool fit(const RelayLife& holder) const;
-  std::vector<RelayLife> holdersFor(const LedgerId& id, const Ledger* ledger) const;
-  void deliverOwn(double nowMs, CopyStep& out);
-  bool handle(const std::string& from, FleetKind kind, std::string_view payload, double nowMs, CopyStep& out);
-  bool mine(const LedgerState& state) const {
+  ManagedLedger& beginLedger(const LedgerId& id, Stage stage);
+  void propose(ManagedLedger& managed, LedgerState current, LedgerState desired, double nowMs,
+               ReplicationStep& out);
+  void onDecided(const LedgerId& id, ManagedLedger& managed, double nowMs, ReplicationStep& out);
+  void becomeOwner(const LedgerId& id, ManagedLedger& managed, const LedgerState& state,
+                   std::vector<PendingRequest> requests);
+  void abandon(const LedgerId& id, ManagedLedger& managed, ReplicationStep& out);
+  void onFenceResponse(const std::string& from, const FenceResponse& response, double nowMs,
+                       ReplicationStep& out);
+  void reportDurable(const LedgerId& id, ManagedLedger& managed, ReplicationStep& out);
+  void tickLedgers(double nowMs, ReplicationStep& out);
+  void openShards(double nowMs, ReplicationStep& out);
+  void takeOver(double nowMs, ReplicationStep& out);
+  bool ownerIsGone(const LedgerState& state) const;
+  bool isUsable(const RelayId& replica) const;
+  std::vector<RelayId> replicasFor(const LedgerId& id, const Ledger* ledger) const;
+  void deliverToSelf(double nowMs, ReplicationStep& out);
+  bool handle(const std::string& from, FleetKind kind, std::string_view payload, double nowMs,
+              ReplicationStep& out);
+  bool isOwnedHere(const LedgerState& state) const {
     return state.owner == setup_.name && state.start.life == setup_.self.life;
   }
   std::uint64_t random();
 
-  CopiesSetup setup_;
-  std::vector<std::string> all_;
-  Voter voter_;
-  Holder holder_;
-  std::map<std::string, CopiesMember> members_;
-  std::map<LedgerId, Case> cases_;
-  std::vector<std::optional<LedgerId>> shares_;
-  std::uint32_t opened_ = 0;
-  std::map<LedgerId, double> goneSince_;
-  double budget_ = 0, tickedMs_ = 0;
+  ReplicationSetup setup_;
+  std::vector<std::string> relays_;
+  Acceptor acceptor_;
+  Replica replica_;
+  std::map<std::string, ReplicationMember> members_;
+  std::map<LedgerId, ManagedLedger> ledgers_;
+  std::vector<std::optional<LedgerId>> shards_;
+  std::uint32_t abandonedLedgers_ = 0;
+  std::map<LedgerId, double> ownerGoneSinceMs_;
+  double copyBudget_ = 0, lastTickMs_ = 0;
 };
 
 }  // namespace myrtleloft
--- a/src/copies/holder.cpp
+++ b/src/copies/holder.cpp
@@ -13,107 +13,112 @@
 constexpr char kLedgerKey[] = "held/";
 constexpr char kCopyKey[] = "copy/";
 
-struct Place {
+struct TablePosition {
   std::uint64_t epoch = 0, stream = 0, sequence = 0;
   template <typename Archive>
   void serialize(Archive& ar) {
     ar(epoch, stream, sequence);
   }
 };
-struct Kept {
+struct StoredLedger {
   LedgerId ledger;
   std::uint64_t fenced = 0;
-  std::vector<Place> settled, coming;  // one or none
+  std::vector<TablePosition> complete, incoming;  // empty or one element
   template <typename Archive>
   void serialize(Archive& ar) {
-    ar(ledger, fenced, settled, coming);
+    ar(ledger, fenced, complete, incoming);
   }
 };
 
-std::string recordOf(const PendingRequest& owed) {
+std::string recordOf(const PendingRequest& pendingRequest) {
   std::string bytes;
-  encode(owed, bytes);
+  encode(pendingRequest, bytes);
   return bytes;
 }
 
 }  // namespace
 
-std::string Holder::keyOf(const LedgerId& id, const Table& table) {
+std::string Replica::keyOf(const LedgerId& id, const Table& table) {
   return kCopyKey + bytesOf(id) + bytesOf(table.epoch) + bytesOf(table.stream);
 }
 
-Holder::Holder(std::uint64_t life, std::size_t roomBytes, const Stored& stored)
-    : life_(life), room_(roomBytes) {
+Replica::Replica(std::uint64_t life, std::size_t capacityBytes, const StoredEntries& stored)
+    : life_(life), capacityBytes_(capacityBytes) {
   for (auto at = stored.lower_bound(kLedgerKey); at != stored.end() && at->first.starts_with(kLedgerKey);
        ++at) {
-    Kept kept;
-    if (!read(at->second, kept)) continue;
-    Held& held = held_[kept.ledger];
-    held.fenced = kept.fenced;
-    const auto load = [&](const std::vector<Place>& places, std::optional<Table>& table) {
-      if (places.empty()) return;
-      table.emplace(Table{places[0].epoch, places[0].stream, places[0].sequence, {}});
-      const std::string prefix = keyOf(kept.ledger, *table);
-      for (auto c = stored.lower_bound(prefix); c != stored.end() && c->first.starts_with(prefix); ++c) {
-        if (std::optional<Record> record = decode(c->second)) table->contents.apply(std::move(*record));
+    StoredLedger storedLedger;
+    if (!read(at->second, storedLedger)) continue;
+    LedgerCopy& ledgerCopy = ledgers_[storedLedger.ledger];
+    ledgerCopy.fenced = storedLedger.fenced;
+    const auto load = [&](const std::vector<TablePosition>& positions, std::optional<Table>& table) {
+      if (positions.empty()) return;
+      table.emplace(Table{positions[0].epoch, positions[0].stream, positions[0].sequence, {}});
+      const std::string prefix = keyOf(storedLedger.ledger, *table);
+      for (auto entry = stored.lower_bound(prefix); entry != stored.end() && entry->first.starts_with(prefix);
+           ++entry) {
+        if (std::optional<Record> record = decode(entry->second))
+          table->pendingTable.apply(std::move(*record));
       }
     };
-    load(kept.settled, held.settled);
-    load(kept.coming, held.coming);
+    load(storedLedger.complete, ledgerCopy.complete);
+    load(storedLedger.incoming, ledgerCopy.incoming);
   }
 }
 
-std::size_t Holder::bytes() const {
+std::size_t Replica::bytes() const {
   std::size_t sum = 0;
-  for (const auto& [id, held] : held_)
-    sum += (held.settled ? held.settled->contents.bytes() : 0) +
-           (held.coming ? held.coming->contents.bytes() : 0);
+  for (const auto& [id, ledgerCopy] : ledgers_)
+    sum += (ledgerCopy.complete ? ledgerCopy.complete->pendingTable.bytes() : 0) +
+           (ledgerCopy.incoming ? ledgerCopy.incoming->pendingTable.bytes() : 0);
   return sum;
 }
 
-HeldMessage Holder::onCopy(const CopyMessage& copy, CopyStep& out) {
-  HeldMessage answer{copy.ledger, copy.epoch, copy.stream, 0, HeldAs::kHeld, life_, 0};
-  Held& held = held_[copy.ledger];
-  if (copy.epoch < held.fenced) {
-    answer.as = HeldAs::kFencedOff;
-    answer.fenced = held.fenced;
+CopyAck Replica::onCopy(const CopyRequest& copy, ReplicationStep& out) {
+  CopyAck answer{copy.ledger, copy.epoch, copy.stream, 0, CopyOutcome::kStored, life_, 0};
+  LedgerCopy& ledgerCopy = ledgers_[copy.ledger];
+  if (copy.epoch < ledgerCopy.fenced) {
+    answer.outcome = CopyOutcome::kRejectedByFence;
+    answer.fenced = ledgerCopy.fenced;
     return answer;
   }
-  const auto is = [&](const std::optional<Table>& t) {
-    return t && t->epoch == copy.epoch && t->stream == copy.stream;
+  const auto matches = [&](const std::optional<Table>& candidate) {
+    return candidate && candidate->epoch == copy.epoch && candidate->stream == copy.stream;
   };
-  const auto later = [&](const std::optional<Table>& t) {
-    return !t || std::tie(t->epoch, t->stream) < std::tie(copy.epoch, copy.stream);
+  const auto isNewer = [&](const std::optional<Table>& candidate) {
+    return !candidate || std::tie(candidate->epoch, candidate->stream) < std::tie(copy.epoch, copy.stream);
   };
-  Table begun{copy.epoch, copy.stream, 0, {}};
-  Table* table = is(held.coming) ? &*held.coming : is(held.settled) ? &*held.settled : nullptr;
+  Table newTable{copy.epoch, copy.stream, 0, {}};
+  Table* table = matches(ledgerCopy.incoming)   ? &*ledgerCopy.incoming
+                 : matches(ledgerCopy.complete) ? &*ledgerCopy.complete
+                                                : nullptr;
   if (!table) {
-    if (copy.sequence != 1 || !later(held.settled) || !later(held.coming)) {
-      answer.as = HeldAs::kUnknown;
+    if (copy.sequence != 1 || !isNewer(ledgerCopy.complete) || !isNewer(ledgerCopy.incoming)) {
+      answer.outcome = CopyOutcome::kUnknown;
       return answer;
     }
-    table = &begun;
+    table = &newTable;
   }
   if (copy.sequence == table->sequence + 1) {
     if (!fits(*table, copy)) {
-      answer.as = HeldAs::kFull;
+      answer.outcome = CopyOutcome::kFull;
       answer.sequence = table->sequence;
       return answer;
     }
-    std::optional<Table> over;
-    if (table == &begun) {
-      over = std::exchange(held.coming, std::move(begun));
-      table = &*held.coming;
+    std::optional<Table> replaced;
+    if (table == &newTable) {
+      replaced = std::exchange(ledgerCopy.incoming, std::move(newTable));
+      table = &*ledgerCopy.incoming;
     }
-    take(copy.ledger, *table, copy, out);
+    applyRecords(copy.ledger, *table, copy, out);
     answer.sequence = table->sequence;
-    keep(copy.ledger, held, out);
-    if (over) forget(copy.ledger, *over, out);
-    if (copy.whole && is(held.coming)) {
-      // The new table is the one before the old one's records go, wherever the folder's writes are cut off.
-      over = std::exchange(held.settled, std::exchange(held.coming, std::nullopt));
-      keep(copy.ledger, held, out);
-      if (over) forget(copy.ledger, *over, out);
+    storeLedger(copy.ledger, ledgerCopy, out);
+    if (replaced) eraseTable(copy.ledger, *replaced, out);
+    if (copy.tableComplete && matches(ledgerCopy.incoming)) {
+      // Switches to the new table before deleting the old one's records, so that a crash between the writes
+      // leaves a complete table.
+      replaced = std::exchange(ledgerCopy.complete, std::exchange(ledgerCopy.incoming, std::nullopt));
+      storeLedger(copy.ledger, ledgerCopy, out);
+      if (replaced) eraseTable(copy.ledger, *replaced, out);
     }
     return answer;
   }
@@ -121,49 +126,51 @@
   return answer;
 }
 
-bool Holder::fits(const Table& table, const CopyMessage& copy) const {
-  std::size_t more = 0;
+bool Replica::fits(const Table& table, const CopyRequest& copy) const {
+  std::size_t addedBytes = 0;
   for (const std::string& bytes : copy.records) {
     const std::optional<Record> record = decode(bytes);
     if (!record) continue;
-    if (const auto* taken = std::get_if<AcceptedRecord>(&*record);
-        taken && !table.contents.find(taken->pending.id))
-      more += bytes.size();
+    if (const auto* accepted = std::get_if<AcceptedRecord>(&*record);
+        accepted && !table.pendingTable.find(accepted->pending.id))
+      addedBytes += bytes.size();
   }
-  return more == 0 || bytes() + more <= room_;
+  return addedBytes == 0 || bytes() + addedBytes <= capacityBytes_;
 }
 
-void Holder::take(const LedgerId& id, Table& table, const CopyMessage& copy, CopyStep& out) const {
+void Replica::applyRecords(const LedgerId& id, Table& table, const CopyRequest& copy,
+                           ReplicationStep& out) const {
   table.sequence = copy.sequence;
   const std::string prefix = keyOf(id, table);
   for (const std::string& bytes : copy.records) {
     std::optional<Record> record = decode(bytes);
     if (!record) continue;
-    if (planted(Flaw::kEndedRevives) && std::holds_alternative<CompletedRecord>(*record)) continue;
-    const std::string about = table.contents.apply(std::move(*record));
-    const PendingRequest* owed = table.contents.find(about);
-    out.stores.push_back({prefix + about, owed ? recordOf(*owed) : std::string()});
+    if (isInjected(InjectedBug::kCompletionsIgnored) && std::holds_alternative<CompletedRecord>(*record))
+      continue;
+    const std::string requestId = table.pendingTable.apply(std::move(*record));
+    const PendingRequest* pendingRequest = table.pendingTable.find(requestId);
+    out.stores.push_back({prefix + requestId, pendingRequest ? recordOf(*pendingRequest) : std::string()});
   }
 }
 
-FencedMessage Holder::onFence(const FenceMessage& fence, CopyStep& out) {
-  FencedMessage answer{fence.ledger, fence.epoch, life_, true, 0, fence.after, true, {}};
-  Held& held = held_[fence.ledger];
-  if (fence.epoch < held.fenced) {
+FenceResponse Replica::onFence(const FenceRequest& fence, ReplicationStep& out) {
+  FenceResponse answer{fence.ledger, fence.epoch, life_, true, 0, fence.after, true, {}};
+  LedgerCopy& ledgerCopy = ledgers_[fence.ledger];
+  if (fence.epoch < ledgerCopy.fenced) {
     answer.done = false;
-    answer.fenced = held.fenced;
+    answer.fenced = ledgerCopy.fenced;
     return answer;
   }
-  if (fence.epoch > held.fenced && !planted(Flaw::kNoFence)) {
-    held.fenced = fence.epoch;
-    keep(fence.ledger, held, out);
+  if (fence.epoch > ledgerCopy.fenced && !isInjected(InjectedBug::kNoFence)) {
+    ledgerCopy.fenced = fence.epoch;
+    storeLedger(fence.ledger, ledgerCopy, out);
   }
-  answer.fenced = held.fenced;
-  if (!held.settled) return answer;
+  answer.fenced = ledgerCopy.fenced;
+  if (!ledgerCopy.complete) return answer;
   std::size_t size = 0;
-  const auto& requests = held.settled->contents.requests();
+  const auto& requests = ledgerCopy.complete->pendingTable.requests();
   for (auto at = requests.upper_bound(fence.after); at != requests.end(); ++at) {
-    if (size >= kFullMessage) {
+    if (size >= kMessageBytes) {
       answer.last = false;
       break;
     }
@@ -172,26 +179,29 @@
   return answer;
 }
 
-std::optional<LedgerId> Holder::owes(const std::string& key, int tenant) const {
-  for (const auto& [id, held] : held_) {
-    if (!held.settled || key.empty()) continue;
-    for (const auto& [request, owed] : held.settled->contents.requests())
-      if (owed.key == key && owed.tenant == tenant) return id;
+std::optional<LedgerId> Replica::findLedgerOf(const std::string& key, int tenant) const {
+  for (const auto& [id, ledgerCopy] : ledgers_) {
+    if (!ledgerCopy.complete || key.empty()) continue;
+    for (const auto& [request, pendingRequest] : ledgerCopy.complete->pendingTable.requests())
+      if (pendingRequest.key == key && pendingRequest.tenant == tenant) return id;
   }
   return std::nullopt;
 }
 
-void Holder::keep(const LedgerId& id, const Held& held, CopyStep& out) const {
-  Kept kept{id, held.fenced, {}, {}};
-  const auto place = [](const Table& t) { return Place{t.epoch, t.stream, t.sequence}; };
-  if (held.settled) kept.settled.push_back(place(*held.settled));
-  if (held.coming) kept.coming.push_back(place(*held.coming));
-  out.stores.push_back({kLedgerKey + bytesOf(id), bytesOf(kept)});
+void Replica::storeLedger(const LedgerId& id, const LedgerCopy& ledgerCopy, ReplicationStep& out) const {
+  StoredLedger storedLedger{id, ledgerCopy.fenced, {}, {}};
+  const auto positionOf = [](const Table& candidate) {
+    return TablePosition{candidate.epoch, candidate.stream, candidate.sequence};
+  };
+  if (ledgerCopy.complete) storedLedger.complete.push_back(positionOf(*ledgerCopy.complete));
+  if (ledgerCopy.incoming) storedLedger.incoming.push_back(positionOf(*ledgerCopy.incoming));
+  out.stores.push_back({kLedgerKey + bytesOf(id), bytesOf(storedLedger)});
 }
 
-void Holder::forget(const LedgerId& id, const Table& table, CopyStep& out) const {
+void Replica::eraseTable(const LedgerId& id, const Table& table, ReplicationStep& out) const {
   const std::string prefix = keyOf(id, table);
-  for (const auto& [request, owed] : table.contents.requests()) out.stores.push_back({prefix + request, {}});
+  for (const auto& [request, pendingRequest] : table.pendingTable.requests())
+    out.stores.push_back({prefix + request, {}});
 }
 
 }  // namespace myrtleloft
--- a/src/copies/holder.h
+++ b/src/copies/holder.h
@@ -1,16 +1,16 @@
-// What one relay holds for others. No I/O.
+// The copies of other relays' ledgers that this relay stores. No I/O.
 //
-//   Holder holder(life, roomBytes, stored);
-//   HeldMessage held = holder.onCopy(copy, step);      // to be sent once `step.stores` are done
-//   FencedMessage fenced = holder.onFence(fence, step);
+//   Replica replica(life, capacityBytes, stored);
+//   CopyAck ack = replica.onCopy(copy, step);             // send it after `step.stores` are durable
+//   FenceResponse response = replica.onFence(fence, step);
 //
-// A ledger's records come in streams. A new stream begins a new table beside the old one, which stays until
-// the new one is whole: what was ever acknowledged under it can be read at any moment. Once fenced, nothing
-// of a lower epoch is taken any more, for good.
+// An owner sends a ledger's records in a stream. A new stream starts a new table beside the existing one,
+// which is kept until the new one is complete, so that acknowledged records can be read at any time. Once a
+// ledger is fenced at an epoch, records of lower epochs are rejected permanently.
 //
-// Room: `roomBytes` of records over all ledgers; what would go beyond is refused (kFull), and nothing that is
-// held is dropped for it. Records that only tell more of what is held already are taken. A copy costs
-// O(records * log n); a fence O(kFullMessage).
+// The records of all ledgers are limited to `capacityBytes`. New requests beyond it are rejected with kFull;
+// nothing stored is evicted. Records that update stored requests are always accepted. A copy request costs
+// O(records * log n), a fence request O(kMessageBytes).
 #pragma once
 
 #include <cstdint>
@@ -24,26 +24,28 @@
 
 namespace myrtleloft {
 
-class Holder {
+class Replica {
  public:
-  Holder(std::uint64_t life, std::size_t roomBytes, const Stored& stored);
+  Replica(std::uint64_t life, std::size_t capacityBytes, const StoredEntries& stored);
 
-  HeldMessage onCopy(const CopyMessage& copy, CopyStep& out);
-  FencedMessage onFence(const FenceMessage& fence, CopyStep& out);
+  CopyAck onCopy(const CopyRequest& copy, ReplicationStep& out);
+  FenceResponse onFence(const FenceRequest& fence, ReplicationStep& out);
   std::size_t bytes() const;
-  std::size_t ledgers() const { return held_.size(); }
-  // The ledger under which another relay owes a request of that key and tenant: one that comes again need not
-  // be owed twice. O(all that is held): only for requests that say they come again.
-  std::optional<LedgerId> owes(const std::string& key, int tenant) const;
+  std::size_t ledgers() const { return ledgers_.size(); }
+  // Returns the ledger in which another relay has a pending request with this idempotency key and tenant, so
+  // that a client's retry need not be accepted twice, or std::nullopt if there is none. Scans all stored
+  // requests: use it only for requests that are marked as retries.
+  std::optional<LedgerId> findLedgerOf(const std::string& key, int tenant) const;
   template <typename Archive>
   void fingerprint(Archive& ar) const {
-    for (const auto& [id, held] : held_) {
-      ar(id, held.fenced);
-      for (const auto* t : {&held.settled, &held.coming}) {
-        ar(t->has_value());
-        if (!*t) continue;
-        ar((*t)->epoch, (*t)->stream, (*t)->sequence);
-        for (const auto& [request, owed] : (*t)->contents.requests()) ar(request, owed.attempts, owed.status);
+    for (const auto& [id, ledgerCopy] : ledgers_) {
+      ar(id, ledgerCopy.fenced);
+      for (const auto* copyTable : {&ledgerCopy.complete, &ledgerCopy.incoming}) {
+        ar(copyTable->has_value());
+        if (!*copyTable) continue;
+        ar((*copyTable)->epoch, (*copyTable)->stream, (*copyTable)->sequence);
+        for (const auto& [request, pendingRequest] : (*copyTable)->pendingTable.requests())
+          ar(request, pendingRequest.attempts, pendingRequest.status);
       }
     }
   }
@@ -51,22 +53,22 @@
  private:
   struct Table {
     std::uint64_t epoch = 0, stream = 0, sequence = 0;
-    Contents contents;
+    PendingTable pendingTable;
   };
-  struct Held {
+  struct LedgerCopy {
     std::uint64_t fenced = 0;
-    std::optional<Table> settled, coming;
+    std::optional<Table> complete, incoming;
   };
 
   static std::string keyOf(const LedgerId& id, const Table& table);
-  void keep(const LedgerId& id, const Held& held, CopyStep& out) const;
-  void forget(const LedgerId& id, const Table& table, CopyStep& out) const;
-  bool fits(const Table& table, const CopyMessage& copy) const;
-  void take(const LedgerId& id, Table& table, const CopyMessage& copy, CopyStep& out) const;
+  void storeLedger(const LedgerId& id, const LedgerCopy& ledgerCopy, ReplicationStep& out) const;
+  void eraseTable(const LedgerId& id, const Table& table, ReplicationStep& out) const;
+  bool fits(const Table& table, const CopyRequest& copy) const;
+  void applyRecords(const LedgerId& id, Table& table, const CopyRequest& copy, ReplicationStep& out) const;
 
   std::uint64_t life_;
-  std::size_t room_;
-  std::map<LedgerId, Held> held_;
+  std::size_t capacityBytes_;
+  std::map<LedgerId, LedgerCopy> ledgers_;
 };
 
 }  // namespace myrtleloft
--- a/src/copies/messages.cpp
+++ b/src/copies/messages.cpp
@@ -9,98 +9,113 @@
 namespace myrtleloft {
 
 template <typename Archive>
-void serialize(Archive& ar, VoteAsk& m) {
-  ar(m.phase, m.ledger, m.ballot, m.value, m.mark, m.blank, m.known);
+void serialize(Archive& ar, AcceptorRequest& message) {
+  ar(message.phase, message.ledger, message.ballot, message.value, message.generation, message.registersEmpty,
+     message.known);
 }
 template <typename Archive>
-void serialize(Archive& ar, Vote& m) {
-  ar(m.phase, m.ledger, m.ballot, m.yes, m.mark, m.known, m.accepted, m.value, m.registers, m.last);
+void serialize(Archive& ar, AcceptorResponse& message) {
+  ar(message.phase, message.ledger, message.ballot, message.granted, message.generation, message.known,
+     message.accepted, message.value, message.registers, message.last);
 }
 template <typename Archive>
-void serialize(Archive& ar, CopyMessage& m) {
-  ar(m.ledger, m.epoch, m.stream, m.sequence, m.whole, m.closed, m.records);
+void serialize(Archive& ar, CopyRequest& message) {
+  ar(message.ledger, message.epoch, message.stream, message.sequence, message.tableComplete, message.closed,
+     message.records);
 }
 template <typename Archive>
-void serialize(Archive& ar, HeldMessage& m) {
-  ar(m.ledger, m.epoch, m.stream, m.sequence, m.as, m.life, m.fenced);
+void serialize(Archive& ar, CopyAck& message) {
+  ar(message.ledger, message.epoch, message.stream, message.sequence, message.outcome, message.life,
+     message.fenced);
 }
 template <typename Archive>
-void serialize(Archive& ar, FenceMessage& m) {
-  ar(m.ledger, m.epoch, m.after);
+void serialize(Archive& ar, FenceRequest& message) {
+  ar(message.ledger, message.epoch, message.after);
 }
 template <typename Archive>
-void serialize(Archive& ar, FencedMessage& m) {
-  ar(m.ledger, m.epoch, m.life, m.done, m.fenced, m.after, m.last, m.records);
+void serialize(Archive& ar, FenceResponse& message) {
+  ar(message.ledger, message.epoch, message.life, message.done, message.fenced, message.after, message.last,
+     message.records);
 }
 
 namespace {
 
-bool sound(const LedgerId& id) {
-  return !id.maker.empty() && id.maker.size() <= kMostName && id.made.life != 0 && id.made.start != 0;
+bool isValid(const LedgerId& id) {
+  return !id.creator.empty() && id.creator.size() <= kMaxNameBytes && id.creatorIncarnation.life != 0 &&
+         id.creatorIncarnation.start != 0;
 }
 
-bool sound(const LedgerState& state) {
+bool isValid(const LedgerState& state) {
   if (state.epoch == 0) return state == LedgerState{};
-  const auto named = [](const RelayLife& r) {
-    return !r.name.empty() && r.name.size() <= kMostName && r.life != 0;
+  const auto named = [](const RelayId& relay) {
+    return !relay.name.empty() && relay.name.size() <= kMaxNameBytes && relay.life != 0;
   };
-  return !state.owner.empty() && state.owner.size() <= kMostName && state.start.life != 0 &&
-         state.start.start != 0 && state.ensemble.size() <= kMostHolders &&
+  return !state.owner.empty() && state.owner.size() <= kMaxNameBytes && state.start.life != 0 &&
+         state.start.start != 0 && state.ensemble.size() <= kMaxReplicas &&
          std::all_of(state.ensemble.begin(), state.ensemble.end(), named);
 }
 
-bool sound(const std::vector<KnownLife>& known) {
-  return known.size() <= kMostRelays && std::all_of(known.begin(), known.end(), [](const KnownLife& k) {
-           return !k.name.empty() && k.name.size() <= kMostName && k.mark.life != 0;
+bool isValid(const std::vector<KnownGeneration>& known) {
+  return known.size() <= kMaxRelays &&
+         std::all_of(known.begin(), known.end(), [](const KnownGeneration& entry) {
+           return !entry.name.empty() && entry.name.size() <= kMaxNameBytes && entry.generation.life != 0;
          });
 }
 
-bool sound(const std::vector<std::string>& records, bool onlyTaken) {
+bool isValid(const std::vector<std::string>& records, bool onlyAccepted) {
   return std::all_of(records.begin(), records.end(), [&](const std::string& bytes) {
     const std::optional<Record> record = decode(bytes);
     return record && !std::holds_alternative<SegmentsDeletedRecord>(*record) &&
-           (!onlyTaken || std::holds_alternative<AcceptedRecord>(*record));
+           (!onlyAccepted || std::holds_alternative<AcceptedRecord>(*record));
   });
 }
 
 }  // namespace
 
-std::string encode(const VoteAsk& message) { return bytesOf(message); }
-std::string encode(const Vote& message) { return bytesOf(message); }
-std::string encode(const CopyMessage& message) { return bytesOf(message); }
-std::string encode(const HeldMessage& message) { return bytesOf(message); }
-std::string encode(const FenceMessage& message) { return bytesOf(message); }
-std::string encode(const FencedMessage& message) { return bytesOf(message); }
-
-bool decode(std::string_view payload, VoteAsk& m) {
-  if (!read(payload, m) || m.phase > VotePhase::kJoin || !sound(m.known)) return false;
-  if (m.phase == VotePhase::kJoin)
-    return m.mark.ordinal != 0 && m.mark.life != 0 && (m.ledger.maker.empty() || sound(m.ledger));
-  return sound(m.ledger) && m.ballot.round != 0 && sound(m.value) &&
-         (m.value.epoch != 0) == (m.phase == VotePhase::kAccept);
-}
-
-bool decode(std::string_view payload, Vote& m) {
-  if (!read(payload, m) || m.phase > VotePhase::kJoin || !sound(m.known) || m.mark.life == 0) return false;
-  if (m.phase != VotePhase::kJoin) return sound(m.ledger) && sound(m.value) && m.registers.empty();
-  return std::all_of(m.registers.begin(), m.registers.end(),
-                     [](const RegisterCopy& r) { return sound(r.ledger) && sound(r.value); });
+std::string encode(const AcceptorRequest& message) { return bytesOf(message); }
+std::string encode(const AcceptorResponse& message) { return bytesOf(message); }
+std::string encode(const CopyRequest& message) { return bytesOf(message); }
+std::string encode(const CopyAck& message) { return bytesOf(message); }
+std::string encode(const FenceRequest& message) { return bytesOf(message); }
+std::string encode(const FenceResponse& message) { return bytesOf(message); }
+
+bool decode(std::string_view payload, AcceptorRequest& message) {
+  if (!read(payload, message) || message.phase > RequestPhase::kJoin || !isValid(message.known)) return false;
+  if (message.phase == RequestPhase::kJoin)
+    return message.generation.ordinal != 0 && message.generation.life != 0 &&
+           (message.ledger.creator.empty() || isValid(message.ledger));
+  return isValid(message.ledger) && message.ballot.round != 0 && isValid(message.value) &&
+         (message.value.epoch != 0) == (message.phase == RequestPhase::kAccept);
+}
+
+bool decode(std::string_view payload, AcceptorResponse& message) {
+  if (!read(payload, message) || message.phase > RequestPhase::kJoin || !isValid(message.known) ||
+      message.generation.life == 0)
+    return false;
+  if (message.phase != RequestPhase::kJoin)
+    return isValid(message.ledger) && isValid(message.value) && message.registers.empty();
+  return std::all_of(message.registers.begin(), message.registers.end(), [](const ConfigRegisterCopy& relay) {
+    return isValid(relay.ledger) && isValid(relay.value);
+  });
 }
 
-bool decode(std::string_view payload, CopyMessage& m) {
-  return read(payload, m) && sound(m.ledger) && m.epoch != 0 && m.sequence != 0 && sound(m.records, false);
+bool decode(std::string_view payload, CopyRequest& message) {
+  return read(payload, message) && isValid(message.ledger) && message.epoch != 0 && message.sequence != 0 &&
+         isValid(message.records, false);
 }
 
-bool decode(std::string_view payload, HeldMessage& m) {
-  return read(payload, m) && sound(m.ledger) && m.as <= HeldAs::kFull && m.life != 0;
+bool decode(std::string_view payload, CopyAck& message) {
+  return read(payload, message) && isValid(message.ledger) && message.outcome <= CopyOutcome::kFull &&
+         message.life != 0;
 }
 
-bool decode(std::string_view payload, FenceMessage& m) {
-  return read(payload, m) && sound(m.ledger) && m.epoch != 0;
+bool decode(std::string_view payload, FenceRequest& message) {
+  return read(payload, message) && isValid(message.ledger) && message.epoch != 0;
 }
 
-bool decode(std::string_view payload, FencedMessage& m) {
-  return read(payload, m) && sound(m.ledger) && m.life != 0 && sound(m.records, true);
+bool decode(std::string_view payload, FenceResponse& message) {
+  return read(payload, message) && isValid(message.ledger) && message.life != 0 &&
+         isValid(message.records, true);
 }
 
 }  // namespace myrtleloft
--- a/src/copies/messages.h
+++ b/src/copies/messages.h
@@ -1,11 +1,11 @@
-// What the copies of two relays say to each other: the payloads of FleetKind kVoteAsk to kFenced, by cereal.
+// Replication messages between relays: the payloads of FleetKind kVoteAsk to kFenced, encoded by cereal.
 //
-//   std::string payload = encode(CopyMessage{...});
-//   CopyMessage copy;
-//   if (!decode(payload, copy)) ...       // not one of ours, or out of bounds: `copy` is then anything
+//   std::string payload = encode(CopyRequest{...});
+//   CopyRequest copy;
+//   if (!decode(payload, copy)) ...       // malformed or out of bounds: the content of `copy` is unspecified
 //
-// Decoding bounds names (kMostName), ensembles (kMostHolders), relays (kMostRelays) and records, and reads
-// each record: what is taken on is what the journal can read. Safe for several threads; O(size).
+// Decoding limits the length of names (kMaxNameBytes), ensembles (kMaxReplicas) and relay lists (kMaxRelays),
+// and decodes each record, so that only records that the journal can read are accepted. Thread-safe; O(size).
 #pragma once
 
 #include <cstdint>
@@ -17,98 +17,101 @@
 
 namespace myrtleloft {
 
-inline constexpr std::size_t kMostName = 64;
-inline constexpr std::size_t kMostHolders = 8;
-inline constexpr std::size_t kMostRelays = 128;
-// Of records in one message: what leaves room for heads in kMostFleetPayload, with one record of the largest
-// body (64 KiB) beyond it.
-inline constexpr std::size_t kFullMessage = 32 * 1024;
+inline constexpr std::size_t kMaxNameBytes = 64;
+inline constexpr std::size_t kMaxReplicas = 8;
+inline constexpr std::size_t kMaxRelays = 128;
+// A message is sent once its records reach this size. Leaves space in kMostFleetPayload for the header and
+// one further record with the largest body (64 KiB).
+inline constexpr std::size_t kMessageBytes = 32 * 1024;
 
-enum class VotePhase : std::uint8_t { kPrepare, kAccept, kJoin };
+enum class RequestPhase : std::uint8_t { kPrepare, kAccept, kJoin };
 
-// kVoteAsk.
-struct VoteAsk {
-  VotePhase phase = VotePhase::kPrepare;
-  LedgerId ledger;     // kJoin: registers behind it are asked for, from the first if its maker is empty
-  Ballot ballot;       // kJoin: its nonce numbers the attempt to join
-  LedgerState value;   // kAccept: what to take
-  LifeMark mark;       // kJoin: of the one who joins
-  bool blank = false;  // kJoin: it holds nothing yet
-  std::vector<KnownLife> known;
+// Payload of kVoteAsk: a prepare, accept or join request to an acceptor.
+struct AcceptorRequest {
+  RequestPhase phase = RequestPhase::kPrepare;
+  LedgerId ledger;    // kJoin: requests the registers after this one, or from the first if `creator` is empty
+  Ballot ballot;      // kJoin: identifies the attempt to join
+  LedgerState value;  // kAccept: the proposed value
+  FolderGeneration generation;         // kJoin: the joining relay's
+  bool registersEmpty = false;         // kJoin: the joining relay has no registers yet
+  std::vector<KnownGeneration> known;  // the folder generations that the sender knows
 };
 
-struct RegisterCopy {
+// The state of an acceptor for one register.
+struct ConfigRegisterCopy {
   LedgerId ledger;
   Ballot promised, accepted;
   LedgerState value;
 };
 
-// kVote.
-struct Vote {
-  VotePhase phase = VotePhase::kPrepare;
+// Payload of kVote: an acceptor's response.
+struct AcceptorResponse {
+  RequestPhase phase = RequestPhase::kPrepare;
   LedgerId ledger;
-  Ballot ballot;  // of the ask
-  bool yes = false;
-  LifeMark mark;  // of the voter
-  std::vector<KnownLife> known;
-  Ballot accepted;                      // kPrepare and yes: the newest it took; no: what it promised instead
-  LedgerState value;                    // with `accepted`
-  std::vector<RegisterCopy> registers;  // kJoin and yes: those behind the one asked for
-  bool last = false;                    // there are no more
+  Ballot ballot;  // of the request
+  bool granted = false;
+  FolderGeneration generation;  // of the acceptor
+  std::vector<KnownGeneration> known;
+  Ballot accepted;    // granted kPrepare: the last accepted ballot; not granted: the promised ballot
+  LedgerState value;  // the value accepted with ballot `accepted`
+  std::vector<ConfigRegisterCopy> registers;  // granted kJoin: the registers after the requested one
+  bool last = false;                          // no further registers follow
 };
 
-// kCopy: the next part of a stream of records from a ledger's owner to one holder.
-struct CopyMessage {
+// Payload of kCopy: the next message of a replication stream from a ledger's owner to one replica.
+struct CopyRequest {
   LedgerId ledger;
   std::uint64_t epoch = 0;
-  std::uint64_t stream = 0;    // of two streams of one epoch the larger is the later
-  std::uint64_t sequence = 0;  // from 1; with 1 the holder begins a new table beside the old one
-  bool whole = false;          // from here on the new table is the ledger's, and the old one goes
-  bool closed = false;         // nothing is owed, the holder may forget the ledger
+  std::uint64_t stream = 0;    // within an epoch, later streams have larger numbers
+  std::uint64_t sequence = 0;  // starts at 1, which makes the replica begin a new table
+  bool tableComplete = false;  // the new table is complete and replaces the old one
+  bool closed = false;         // no requests are pending; the replica may delete the ledger
   std::vector<std::string> records;
 };
 
-enum class HeldAs : std::uint8_t { kHeld, kFencedOff, kUnknown, kFull };
+// kUnknown: the replica does not have the stream. kFull: the records exceed its capacity.
+enum class CopyOutcome : std::uint8_t { kStored, kRejectedByFence, kUnknown, kFull };
 
-// kHeld.
-struct HeldMessage {
+// Payload of kHeld: acknowledges a CopyRequest.
+struct CopyAck {
   LedgerId ledger;
-  std::uint64_t epoch = 0, stream = 0, sequence = 0;  // all up to there is held
-  HeldAs as = HeldAs::kHeld;
-  std::uint64_t life = 0;    // the holder's
-  std::uint64_t fenced = 0;  // kFencedOff: the epoch below which nothing is taken
+  std::uint64_t epoch = 0, stream = 0, sequence = 0;  // all messages up to `sequence` are stored
+  CopyOutcome outcome = CopyOutcome::kStored;
+  std::uint64_t life = 0;    // the replica's
+  std::uint64_t fenced = 0;  // kRejectedByFence: records of lower epochs are rejected
 };
 
-// kFence: take nothing below that epoch any more, and say what is held behind that id.
-struct FenceMessage {
+// Payload of kFence: asks a replica to reject lower epochs from now on and to return its requests with ids
+// greater than `after`.
+struct FenceRequest {
   LedgerId ledger;
   std::uint64_t epoch = 0;
   std::string after;
 };
 
-// kFenced.
-struct FencedMessage {
+// Payload of kFenced: the response to a FenceRequest.
+struct FenceResponse {
   LedgerId ledger;
-  std::uint64_t epoch = 0;  // of the fence
+  std::uint64_t epoch = 0;  // of the request
   std::uint64_t life = 0;
-  bool done = false;  // it is fenced at that epoch; false: `fenced` is higher
+  bool done = false;  // the fence is set at `epoch`; false if `fenced` is higher
   std::uint64_t fenced = 0;
-  std::string after;  // of the question
+  std::string after;  // of the request
   bool last = false;
-  std::vector<std::string> records;  // each a whole request, by id
+  std::vector<std::string> records;  // AcceptedRecords in order of request id
 };
 
-std::string encode(const VoteAsk& message);
-std::string encode(const Vote& message);
-std::string encode(const CopyMessage& message);
-std::string encode(const HeldMessage& message);
-std::string encode(const FenceMessage& message);
-std::string encode(const FencedMessage& message);
-bool decode(std::string_view payload, VoteAsk& message);
-bool decode(std::string_view payload, Vote& message);
-bool decode(std::string_view payload, CopyMessage& message);
-bool decode(std::string_view payload, HeldMessage& message);
-bool decode(std::string_view payload, FenceMessage& message);
-bool decode(std::string_view payload, FencedMessage& message);
+std::string encode(const AcceptorRequest& message);
+std::string encode(const AcceptorResponse& message);
+std::string encode(const CopyRequest& message);
+std::string encode(const CopyAck& message);
+std::string encode(const FenceRequest& message);
+std::string encode(const FenceResponse& message);
+bool decode(std::string_view payload, AcceptorRequest& message);
+bool decode(std::string_view payload, AcceptorResponse& message);
+bool decode(std::string_view payload, CopyRequest& message);
+bool decode(std::string_view payload, CopyAck& message);
+bool decode(std::string_view payload, FenceRequest& message);
+bool decode(std::string_view payload, FenceResponse& message);
 
 }  // namespace myrtleloft
--- a/src/copies/placement.h
+++ b/src/copies/placement.h
@@ -1,5 +1,6 @@
-// Who holds a ledger, and who takes one over: rendezvous hashing (Thaler, Ravishankar, 1996) by xxHash, so
-// that all relays choose alike from the same view and little moves when one comes or goes. No state, no I/O.
+// Chooses the replicas of a ledger and the order in which relays try to take it over. Uses rendezvous hashing
+// (Thaler, Ravishankar, 1996) with xxHash: relays with the same view make the same choice, and few ledgers
+// move when a relay joins or leaves. No state, no I/O.
 //
 // O(n log n) for n relays.
 #pragma once
@@ -14,23 +15,24 @@
 
 namespace myrtleloft {
 
-// A relay that may hold.
+// A relay that may become a replica.
 struct Candidate {
-  RelayLife relay;
-  std::string building;  // empty: not told
-  double room = 1;       // free for others' copies, in any unit common to all; 0: none
+  RelayId relay;
+  std::string building;     // empty if unknown
+  double freeCapacity = 1;  // free space for copies, in any unit common to all candidates
 };
 
-// Which of `slots` shares a request belongs to.
-std::uint32_t shareOf(std::string_view requestId, std::uint32_t slots);
+// The shard of a request, in [0, shardCount).
+std::uint32_t shardOf(std::string_view requestId, std::uint32_t shardCount);
 
-// Up to `copies` of them: one of each other building first, then more of those, the owner's own last; among
-// equals by weight of their room. Those without room are left out.
-std::vector<RelayLife> chooseHolders(const LedgerId& ledger, std::string_view ownBuilding,
-                                     std::vector<Candidate> candidates, std::size_t copies);
+// Returns up to `replicaCount` candidates: first one from each other building, then further ones from other
+// buildings, and finally ones from the owner's building. Within each step the choice is weighted by free
+// capacity. Candidates without free capacity are excluded.
+std::vector<RelayId> chooseReplicas(const LedgerId& ledger, std::string_view ownBuilding,
+                                    std::vector<Candidate> candidates, std::size_t replicaCount);
 
-// The order in which living relays try to take that ledger over: its holders before others.
-std::vector<std::string> heirOrder(const LedgerId& ledger, const std::vector<RelayLife>& ensemble,
-                                   std::vector<RelayLife> living);
+// The order in which live relays try to take the ledger over: its replicas before others.
+std::vector<std::string> takeoverOrder(const LedgerId& ledger, const std::vector<RelayId>& ensemble,
+                                       std::vector<RelayId> living);
 
 }  // namespace myrtleloft
--- a/src/copies/planted.h
+++ b/src/copies/planted.h
@@ -1,29 +1,29 @@
-// Bugs that the tests plant to see them found. The program is built without MYRTLELOFT_PLANTED: `planted` is
-// then false for all, and nothing of them is left in it.
+// Bugs that tests inject to show that the checks detect them. Without MYRTLELOFT_PLANTED, `isInjected` is
+// constexpr false, so that the relay program contains none of this code.
 #pragma once
 
 #include <cstdint>
 
 namespace myrtleloft {
 
-enum class Flaw : std::uint8_t {
+enum class InjectedBug : std::uint8_t {
   kNone,
-  kNoFence,          // an heir reads what a holder has and leaves it unfenced
-  kPromiseAlone,     // a promise before the copies are held
-  kEndedRevives,     // holders do not take ends
-  kStalledCalls,     // a call begins on an old lease
-  kAmnesiacVotes,    // a voter with an empty folder votes at once
-  kOldLivesCount,    // votes of a life that another voter knows to be over are counted
-  kHeirDoesNotWait,  // an heir acts at once
-  kEpochAlone,       // a change compares the epoch and not what is decided under it
-  kHalfAnEnsemble,   // one holder's word is enough for a promise
+  kNoFence,                 // a new owner reads from a replica without fencing it
+  kDurableWithoutReplicas,  // records count as durable before the replicas acknowledge them
+  kCompletionsIgnored,      // replicas ignore completions
+  kCallsAfterLease,         // a call starts after the lease has expired
+  kEmptyAcceptorVotes,      // an acceptor with an empty folder is active at once
+  kStaleGenerationsCount,   // responses of superseded folder generations count
+  kNewOwnerDoesNotWait,     // a new owner acts before the former owner's lease expires
+  kOnlyEpochCompared,       // a change compares the epoch but not the rest of the state
+  kOneAckSuffices,          // the acknowledgment of one replica makes a record durable
 };
 
 #ifdef MYRTLELOFT_PLANTED
-inline Flaw plantedFlaw = Flaw::kNone;
-inline bool planted(Flaw flaw) { return plantedFlaw == flaw; }
+inline InjectedBug injectedBug = InjectedBug::kNone;
+inline bool isInjected(InjectedBug bug) { return injectedBug == bug; }
 #else
-constexpr bool planted(Flaw) { return false; }
+constexpr bool isInjected(InjectedBug) { return false; }
 #endif
 
 }  // namespace myrtleloft
--- a/src/copies/proposer.cpp
+++ b/src/copies/proposer.cpp
@@ -7,87 +7,92 @@
 
 namespace myrtleloft {
 
-void Proposer::change(LedgerState there, LedgerState wanted, double nowMs, std::uint64_t random,
-                      CopyStep& out) {
-  expected_ = std::move(there);
-  wanted_ = std::move(wanted);
+void Proposer::change(LedgerState current, LedgerState desired, double nowMs, std::uint64_t random,
+                      ReplicationStep& out) {
+  expected_ = std::move(current);
+  desired_ = std::move(desired);
   decided_.reset();
   prepare(nowMs, random, out);
 }
 
-void Proposer::prepare(double nowMs, std::uint64_t random, CopyStep& out) {
+void Proposer::prepare(double nowMs, std::uint64_t random, ReplicationStep& out) {
   phase_ = Phase::kPreparing;
-  ballot_ = {++highest_, random};
-  waits_ = false;
-  untilMs_ = nowMs + kPatienceMs;
-  proposed_ = {};
-  ask(VotePhase::kPrepare, out);
+  ballot_ = {++highestRound_, random};
+  backingOff_ = false;
+  roundDeadlineMs_ = nowMs + kRoundTimeoutMs;
+  proposedState_ = {};
+  broadcast(RequestPhase::kPrepare, out);
 }
 
-void Proposer::ask(VotePhase phase, CopyStep& out) {
-  votes_.clear();
-  VoteAsk ask;
-  ask.phase = phase;
-  ask.ledger = ledger_;
-  ask.ballot = ballot_;
-  ask.value = proposed_;
-  for (const std::string& name : all_) out.sends.push_back({name, FleetKind::kVoteAsk, encode(ask)});
+void Proposer::broadcast(RequestPhase phase, ReplicationStep& out) {
+  responses_.clear();
+  AcceptorRequest request;
+  request.phase = phase;
+  request.ledger = ledger_;
+  request.ballot = ballot_;
+  request.value = proposedState_;
+  for (const std::string& name : acceptors_)
+    out.sends.push_back({name, FleetKind::kVoteAsk, encode(request)});
 }
 
-bool Proposer::enough() const {
-  const auto over = [&](const auto& voted) {
-    return std::any_of(votes_.begin(), votes_.end(), [&](const auto& other) {
-      return std::any_of(other.second.known.begin(), other.second.known.end(), [&](const KnownLife& k) {
-        return k.name == voted.first && k.mark > voted.second.mark && k.mark.life != voted.second.mark.life;
-      });
+bool Proposer::hasQuorum() const {
+  const auto isStale = [&](const auto& candidate) {
+    return std::any_of(responses_.begin(), responses_.end(), [&](const auto& other) {
+      return std::any_of(
+          other.second.known.begin(), other.second.known.end(), [&](const KnownGeneration& entry) {
+            return entry.name == candidate.first && entry.generation > candidate.second.generation &&
+                   entry.generation.life != candidate.second.generation.life;
+          });
     });
   };
-  const auto counted = std::count_if(votes_.begin(), votes_.end(), [&](const auto& vote) {
-    return planted(Flaw::kOldLivesCount) || !over(vote);
-  });
-  return static_cast<std::size_t>(counted) >= all_.size() / 2 + 1;
+  const auto currentResponses =
+      std::count_if(responses_.begin(), responses_.end(), [&](const auto& response) {
+        return isInjected(InjectedBug::kStaleGenerationsCount) || !isStale(response);
+      });
+  return static_cast<std::size_t>(currentResponses) >= acceptors_.size() / 2 + 1;
 }
 
-void Proposer::onVote(const std::string& from, const Vote& vote, double nowMs, std::uint64_t random,
-                      CopyStep& out) {
-  if (phase_ == Phase::kIdle || waits_ || vote.ballot != ballot_ ||
-      (vote.phase == VotePhase::kPrepare) != (phase_ == Phase::kPreparing))
+void Proposer::onResponse(const std::string& from, const AcceptorResponse& response, double nowMs,
+                          std::uint64_t random, ReplicationStep& out) {
+  if (phase_ == Phase::kIdle || backingOff_ || response.ballot != ballot_ ||
+      (response.phase == RequestPhase::kPrepare) != (phase_ == Phase::kPreparing))
     return;
-  if (!vote.yes) {
-    highest_ = std::max(highest_, vote.accepted.round);
-    waits_ = true;
-    untilMs_ = nowMs + kPatienceMs * static_cast<double>(random % 1024) / 1024;
+  if (!response.granted) {
+    highestRound_ = std::max(highestRound_, response.accepted.round);
+    backingOff_ = true;
+    roundDeadlineMs_ = nowMs + kRoundTimeoutMs * static_cast<double>(random % 1024) / 1024;
     return;
   }
-  // A relay votes once in a phase; after its folder was lost, its later life's vote is the one that counts.
-  const auto [at, fresh] = votes_.try_emplace(from, vote);
-  if (!fresh && at->second.mark < vote.mark) at->second = vote;
-  if (!enough()) return;
+  // Each relay has one response per phase; after it lost its folder, the later generation's response counts.
+  const auto [at, inserted] = responses_.try_emplace(from, response);
+  if (!inserted && at->second.generation < response.generation) at->second = response;
+  if (!hasQuorum()) return;
   if (phase_ == Phase::kPreparing) {
-    Ballot newest;
-    LedgerState there;
-    for (const auto& [name, told] : votes_) {
-      if (told.accepted <= newest) continue;
-      newest = told.accepted;
-      there = told.value;
+    Ballot newestBallot;
+    LedgerState current;
+    for (const auto& [name, reported] : responses_) {
+      if (reported.accepted <= newestBallot) continue;
+      newestBallot = reported.accepted;
+      current = reported.value;
     }
-    const bool applies = wanted_.epoch != 0 &&
-                         (planted(Flaw::kEpochAlone) ? there.epoch + 1 == wanted_.epoch : there == expected_);
-    proposed_ = applies ? wanted_ : there;
-    if (proposed_.epoch != 0) {
+    const bool matchesExpected = desired_.epoch != 0 && (isInjected(InjectedBug::kOnlyEpochCompared)
+                                                             ? current.epoch + 1 == desired_.epoch
+                                                             : current == expected_);
+    proposedState_ = matchesExpected ? desired_ : current;
+    if (proposedState_.epoch != 0) {
       phase_ = Phase::kAccepting;
-      untilMs_ = nowMs + kPatienceMs;
-      ask(VotePhase::kAccept, out);
+      roundDeadlineMs_ = nowMs + kRoundTimeoutMs;
+      broadcast(RequestPhase::kAccept, out);
       return;
     }
   }
-  decided_ = proposed_;
+  decided_ = proposedState_;
   phase_ = Phase::kIdle;
-  votes_.clear();
+  responses_.clear();
 }
 
-void Proposer::onTick(double nowMs, std::uint64_t random, CopyStep& out) {
-  if (phase_ != Phase::kIdle && nowMs >= untilMs_) prepare(nowMs, random, out);
+void Proposer::onTick(double nowMs, std::uint64_t random, ReplicationStep& out) {
+  if (phase_ != Phase::kIdle && nowMs >= roundDeadlineMs_) prepare(nowMs, random, out);
 }
 
 }  // namespace myrtleloft
--- a/src/copies/proposer.h
+++ b/src/copies/proposer.h
@@ -1,16 +1,16 @@
-// One change of one ledger's register, from the side that wants it: CASPaxos' compare-and-set.
+// A CASPaxos proposer: one compare-and-set on the configuration register of one ledger.
 // No I/O; time and random numbers are passed in.
 //
 //   Proposer proposer(id, {"n1", "n2", "n3"});
-//   proposer.change(there, wanted, nowMs, random, step);    // if the register says `there`
-//   proposer.onVote("n2", vote, nowMs, random, step); proposer.onTick(nowMs, random, step);
-//   if (const LedgerState* decided = proposer.decided()) ...    // `wanted`, or what stands there instead
+//   proposer.change(current, desired, nowMs, random, step);    // takes effect if the register has `current`
+//   proposer.onResponse("n2", response, nowMs, random, step); proposer.onTick(nowMs, random, step);
+//   if (const auto& decided = proposer.decided()) ...          // `desired`, or the register's actual value
 //
-// What it says was decided is so for good, for whoever asks later: what is read is written back first. It
-// asks until it is told; a register none of whose majorities answers is never decided.
+// A decided value remains visible to all later reads, because a read writes back the value that it found. The
+// proposer retries until a majority responds; while no majority is reachable it never decides.
 //
-// A round that is in another's way waits for up to kPatienceMs times a random share. Two rounds of messages
-// when nobody is.
+// Uncontended, a change takes two round trips. A proposer that is rejected because of a higher ballot backs
+// off for a random share of kRoundTimeoutMs.
 #pragma once
 
 #include <cstdint>
@@ -26,45 +26,50 @@
 
 class Proposer {
  public:
-  static constexpr double kPatienceMs = 300;
+  static constexpr double kRoundTimeoutMs = 300;
 
-  Proposer(LedgerId ledger, std::vector<std::string> all)
-      : ledger_(std::move(ledger)), all_(std::move(all)) {}
+  Proposer(LedgerId ledger, std::vector<std::string> acceptors)
+      : ledger_(std::move(ledger)), acceptors_(std::move(acceptors)) {}
 
-  // The whole of what is there is compared, not the epoch alone: of two that were asked for under one epoch
-  // only one is decided, and a voter may know the other.
-  void change(LedgerState there, LedgerState wanted, double nowMs, std::uint64_t random, CopyStep& out);
-  // Decides what is there.
-  void look(double nowMs, std::uint64_t random, CopyStep& out) { change({}, {}, nowMs, random, out); }
-  void onVote(const std::string& from, const Vote& vote, double nowMs, std::uint64_t random, CopyStep& out);
-  void onTick(double nowMs, std::uint64_t random, CopyStep& out);
+  // Compares the entire state and not only the epoch: of two states proposed for one epoch only one is
+  // decided, but an acceptor may have accepted the other.
+  void change(LedgerState current, LedgerState desired, double nowMs, std::uint64_t random,
+              ReplicationStep& out);
+  // Reads the register by deciding its current value again.
+  void readCurrent(double nowMs, std::uint64_t random, ReplicationStep& out) {
+    change({}, {}, nowMs, random, out);
+  }
+  void onResponse(const std::string& from, const AcceptorResponse& response, double nowMs,
+                  std::uint64_t random, ReplicationStep& out);
+  void onTick(double nowMs, std::uint64_t random, ReplicationStep& out);
   bool busy() const { return phase_ != Phase::kIdle; }
-  // Of the last change or look; none while it is busy. Epoch 0: nothing was ever written.
+  // The result of the last change or read; std::nullopt while busy. Its epoch is 0 if the register was never
+  // written.
   const std::optional<LedgerState>& decided() const { return decided_; }
   template <typename Archive>
   void fingerprint(Archive& ar) const {
-    ar(phase_, ballot_, proposed_, votes_.size(), waits_);
-    for (const auto& [name, vote] : votes_) ar(name, vote.accepted, vote.value);
+    ar(phase_, ballot_, proposedState_, responses_.size(), backingOff_);
+    for (const auto& [name, response] : responses_) ar(name, response.accepted, response.value);
   }
 
  private:
   enum class Phase : std::uint8_t { kIdle, kPreparing, kAccepting };
 
-  void prepare(double nowMs, std::uint64_t random, CopyStep& out);
-  void ask(VotePhase phase, CopyStep& out);
-  bool enough() const;
+  void prepare(double nowMs, std::uint64_t random, ReplicationStep& out);
+  void broadcast(RequestPhase phase, ReplicationStep& out);
+  bool hasQuorum() const;
 
   LedgerId ledger_;
-  std::vector<std::string> all_;
+  std::vector<std::string> acceptors_;
   Phase phase_ = Phase::kIdle;
   LedgerState expected_;
-  LedgerState wanted_;    // epoch 0: none
-  LedgerState proposed_;  // in the accepting phase
+  LedgerState desired_;        // epoch 0 for a read
+  LedgerState proposedState_;  // the value of the accept phase
   Ballot ballot_;
-  std::uint64_t highest_ = 0;  // round that was met
-  std::map<std::string, Vote> votes_;
-  bool waits_ = false;  // another's round was in the way
-  double untilMs_ = 0;
+  std::uint64_t highestRound_ = 0;  // highest ballot round seen
+  std::map<std::string, AcceptorResponse> responses_;
+  bool backingOff_ = false;  // rejected because of a higher ballot
+  double roundDeadlineMs_ = 0;
   std::optional<LedgerState> decided_;
 };
 
--- a/src/copies/serialize.h
+++ b/src/copies/serialize.h
@@ -1,4 +1,4 @@
-// The fields of names and registers, for cereal. Of this package alone.
+// cereal serialization of ledger identifiers and registers, for use inside this module only.
 #pragma once
 
 #include "copies/messages.h"
@@ -7,36 +7,36 @@
 namespace myrtleloft {
 
 template <typename Archive>
-void serialize(Archive& ar, Incarnation& i) {
-  ar(i.life, i.start);
+void serialize(Archive& ar, Incarnation& incarnation) {
+  ar(incarnation.life, incarnation.start);
 }
 template <typename Archive>
-void serialize(Archive& ar, LedgerId& l) {
-  ar(l.maker, l.made, l.slot);
+void serialize(Archive& ar, LedgerId& id) {
+  ar(id.creator, id.creatorIncarnation, id.slot);
 }
 template <typename Archive>
-void serialize(Archive& ar, RelayLife& r) {
-  ar(r.name, r.life);
+void serialize(Archive& ar, RelayId& entry) {
+  ar(entry.name, entry.life);
 }
 template <typename Archive>
-void serialize(Archive& ar, LedgerState& s) {
-  ar(s.epoch, s.owner, s.start, s.ensemble, s.open);
+void serialize(Archive& ar, LedgerState& state) {
+  ar(state.epoch, state.owner, state.start, state.ensemble, state.open);
 }
 template <typename Archive>
-void serialize(Archive& ar, Ballot& b) {
-  ar(b.round, b.nonce);
+void serialize(Archive& ar, Ballot& ballot) {
+  ar(ballot.round, ballot.nonce);
 }
 template <typename Archive>
-void serialize(Archive& ar, LifeMark& m) {
-  ar(m.ordinal, m.life);
+void serialize(Archive& ar, FolderGeneration& value) {
+  ar(value.ordinal, value.life);
 }
 template <typename Archive>
-void serialize(Archive& ar, KnownLife& k) {
-  ar(k.name, k.mark);
+void serialize(Archive& ar, KnownGeneration& known) {
+  ar(known.name, known.generation);
 }
 template <typename Archive>
-void serialize(Archive& ar, RegisterCopy& r) {
-  ar(r.ledger, r.promised, r.accepted, r.value);
+void serialize(Archive& ar, ConfigRegisterCopy& entry) {
+  ar(entry.ledger, entry.promised, entry.accepted, entry.value);
 }
 
 template <typename T>
--- a/src/copies/step.h
+++ b/src/copies/step.h
@@ -1,8 +1,7 @@
-// What the copies want done: filled by all parts of this package, carried out by whoever drives them.
+// Actions that the replication code requests from its caller. Every part of this module appends to them.
 //
-// Order binds: all of `stores` are as safe as the journal's level asks before anything of `sends` leaves or
-// anything of `news` is acted on. After a crash in between, the stores done so far are a beginning of the
-// list.
+// The caller must make all `stores` as durable as the journal's durability level requires before it transmits
+// any of `sends` or acts on any of `events`. It performs the stores in order, so a crash leaves a prefix.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +16,28 @@
 
 namespace myrtleloft {
 
-using Stored = std::map<std::string, std::string>;
+using StoredEntries = std::map<std::string, std::string>;
 
-struct CopyStore {
+struct StoreWrite {
   std::string key;
-  std::string bytes;  // empty: forget the key
+  std::string bytes;  // empty to delete the key
 };
 
-struct CopySend {
+struct OutgoingMessage {
   std::string to;
   FleetKind kind = FleetKind::kVoteAsk;
   std::string payload;
 };
 
-enum class CopyNewsKind : std::uint8_t {
-  kOwned,      // the register said so: this relay owns the ledger at `state`
-  kPromised,   // all up to `position` is held by the ensemble
-  kVoid,       // another owns it: nothing of it is owed here any more, no notice, no call
-  kTakenOver,  // `requests` are owed here from now on, but nothing is begun or told before `fromMs`
+enum class ReplicationEventKind : std::uint8_t {
+  kOwned,      // the register has decided that this relay owns the ledger in `state`
+  kDurable,    // the ensemble stores all records up to `position`
+  kLost,       // another relay owns the ledger: drop its requests without notification or call
+  kTakenOver,  // `requests` are pending here; no call or notification before `fromMs`
 };
 
-struct CopyNews {
-  CopyNewsKind kind = CopyNewsKind::kOwned;
+struct ReplicationEvent {
+  ReplicationEventKind kind = ReplicationEventKind::kOwned;
   LedgerId ledger;
   LedgerState state;
   std::uint64_t position = 0;
@@ -46,10 +45,10 @@
   std::vector<PendingRequest> requests;
 };
 
-struct CopyStep {
-  std::vector<CopyStore> stores;
-  std::vector<CopySend> sends;
-  std::vector<CopyNews> news;
+struct ReplicationStep {
+  std::vector<StoreWrite> stores;
+  std::vector<OutgoingMessage> sends;
+  std::vector<ReplicationEvent> events;
 };
 
 }  // namespace myrtleloft
--- a/src/copies/stream.cpp
+++ b/src/copies/stream.cpp
@@ -4,78 +4,81 @@
 
 namespace myrtleloft {
 
-Stream::Stream(LedgerId ledger, std::uint64_t epoch, std::uint64_t number, RelayLife holder,
+Stream::Stream(LedgerId ledger, std::uint64_t epoch, std::uint64_t number, RelayId replica,
                std::vector<std::string> ids)
     : ledger_(std::move(ledger)),
       epoch_(epoch),
-      number_(number),
-      holder_(std::move(holder)),
-      ids_(std::make_move_iterator(ids.begin()), std::make_move_iterator(ids.end())) {}
+      streamNumber_(number),
+      replica_(std::move(replica)),
+      idsToCopy_(std::make_move_iterator(ids.begin()), std::make_move_iterator(ids.end())) {}
 
-std::size_t Stream::catchUp(const Contents& contents, std::uint64_t written, double nowMs, CopyStep& out) {
+std::size_t Stream::catchUp(const PendingTable& pendingTable, std::uint64_t lastPosition, double nowMs,
+                            ReplicationStep& out) {
   std::vector<std::string> records;
   std::size_t size = 0;
-  for (; !ids_.empty() && size < kFullMessage; ids_.pop_front())
-    if (const PendingRequest* owed = contents.find(ids_.front())) {
-      encode(*owed, records.emplace_back());
+  for (; !idsToCopy_.empty() && size < kMessageBytes; idsToCopy_.pop_front())
+    if (const PendingRequest* pendingRequest = pendingTable.find(idsToCopy_.front())) {
+      encode(*pendingRequest, records.emplace_back());
       size += records.back().size();
     }
-  wholeSent_ = ids_.empty();
-  send(std::move(records), written, nowMs, out);
+  tableSent_ = idsToCopy_.empty();
+  send(std::move(records), lastPosition, nowMs, out);
   return size;
 }
 
-void Stream::add(const std::vector<std::string>& records, std::uint64_t written, double nowMs,
-                 CopyStep& out) {
-  if (next_ == 1) return;  // all of it is in the table that the stream begins with
-  std::vector<std::string> part;
+void Stream::append(const std::vector<std::string>& records, std::uint64_t lastPosition, double nowMs,
+                    ReplicationStep& out) {
+  if (nextSequence_ == 1) return;  // these records are part of the initial table, which has not been sent yet
+  std::vector<std::string> batch;
   std::size_t size = 0;
   for (const std::string& record : records) {
-    if (size > 0 && size + record.size() > kFullMessage) {
-      send(std::exchange(part, {}), 0, nowMs, out);
+    if (size > 0 && size + record.size() > kMessageBytes) {
+      send(std::exchange(batch, {}), 0, nowMs, out);
       size = 0;
     }
-    size += part.emplace_back(record).size();
+    size += batch.emplace_back(record).size();
   }
-  send(std::move(part), written, nowMs, out);
+  send(std::move(batch), lastPosition, nowMs, out);
 }
 
-void Stream::send(std::vector<std::string> records, std::uint64_t written, double nowMs, CopyStep& out) {
+void Stream::send(std::vector<std::string> records, std::uint64_t lastPosition, double nowMs,
+                  ReplicationStep& out) {
   if (broken_) return;
-  CopyMessage copy{ledger_, epoch_, number_, next_++, wholeSent_, false, std::move(records)};
-  Sent& sent = sent_.emplace_back(Sent{copy.sequence, wholeSent_ ? written : 0, nowMs, nowMs, encode(copy)});
-  bytes_ += sent.payload.size();
+  CopyRequest copy{ledger_, epoch_, streamNumber_, nextSequence_++, tableSent_, false, std::move(records)};
+  Sent& sent =
+      sent_.emplace_back(Sent{copy.sequence, tableSent_ ? lastPosition : 0, nowMs, nowMs, encode(copy)});
+  unacknowledgedBytes_ += sent.payload.size();
   lastSentMs_ = nowMs;
-  if (bytes_ > kMostUnacknowledged) {
+  if (unacknowledgedBytes_ > kMaxUnacknowledgedBytes) {
     broken_ = true;
     return;
   }
-  out.sends.push_back({holder_.name, FleetKind::kCopy, sent.payload});
+  out.sends.push_back({replica_.name, FleetKind::kCopy, sent.payload});
 }
 
-bool Stream::onHeld(const HeldMessage& held) {
-  if (held.epoch != epoch_ || held.stream != number_ || held.life != holder_.life) return false;
-  if (held.as == HeldAs::kUnknown) return std::exchange(broken_, true) == false;
-  full_ = held.as == HeldAs::kFull;
-  if (held.sequence >= next_) return false;
-  bool news = false;
-  for (; !sent_.empty() && sent_.front().sequence <= held.sequence; sent_.pop_front()) {
+bool Stream::onCopyAck(const CopyAck& ack) {
+  if (ack.epoch != epoch_ || ack.stream != streamNumber_ || ack.life != replica_.life) return false;
+  if (ack.outcome == CopyOutcome::kUnknown) return std::exchange(broken_, true) == false;
+  full_ = ack.outcome == CopyOutcome::kFull;
+  if (ack.sequence >= nextSequence_) return false;
+  bool progressed = false;
+  for (; !sent_.empty() && sent_.front().sequence <= ack.sequence; sent_.pop_front()) {
     if (sent_.front().position > position_) position_ = sent_.front().position;
     ackedSentMs_ = sent_.front().firstMs;
-    bytes_ -= sent_.front().payload.size();
-    news = true;
+    unacknowledgedBytes_ -= sent_.front().payload.size();
+    progressed = true;
   }
-  return news;
+  return progressed;
 }
 
-void Stream::onTick(double nowMs, CopyStep& out) {
-  if (broken_ || sent_.empty() || nowMs - sent_.front().lastMs < kSendAgainMs) return;
+void Stream::onTick(double nowMs, ReplicationStep& out) {
+  if (broken_ || sent_.empty() || nowMs - sent_.front().lastMs < kRetransmitMs) return;
   std::size_t size = 0;
   for (Sent& sent : sent_) {
-    if (size > kFullMessage) break;
+    if (size > kMessageBytes) break;
     size += sent.payload.size();
     sent.lastMs = nowMs;
-    out.sends.push_back({holder_.name, FleetKind::kCopy, sent.payload});
+    out.sends.push_back({replica_.name, FleetKind::kCopy, sent.payload});
   }
 }
 
--- a/src/copies/stream.h
+++ b/src/copies/stream.h
@@ -1,15 +1,16 @@
-// The records of one ledger on their way to one holder: numbered, kept until they are acknowledged, sent
-// again. No I/O.
+// The replication stream of one ledger to one replica: numbers the messages, keeps them until they are
+// acknowledged, and retransmits them. No I/O.
 //
-//   Stream stream(id, epoch, number, {"n2", life}, ids);   // `ids`: what it begins with, most worth first
-//   while (room) stream.catchUp(contents, written, nowMs, step);
-//   stream.add(records, written, nowMs, step);
-//   if (stream.onHeld(held)) ... stream.position(), stream.ackedSentMs()
+//   Stream stream(id, epoch, number, {"n2", life}, ids);   // `ids`: initial requests, highest priority first
+//   while (budget) stream.catchUp(pendingTable, lastPosition, nowMs, step);
+//   stream.append(records, lastPosition, nowMs, step);
+//   if (stream.onCopyAck(ack)) ... stream.position(), stream.ackedSentMs()
 //
-// What it begins with is read from the table when its turn comes, between newer records. So each part tells a
-// request as it stands by then, and records of one that is still to come change nothing at the holder.
+// Initial requests are read from the table when they are sent, interleaved with newer records. Each is
+// therefore sent in its current state, and records for a request not yet sent have no effect at the replica.
 //
-// Bounded by kMostUnacknowledged bytes; beyond that it is `broken`, and another must begin.
+// Unacknowledged messages are limited to kMaxUnacknowledgedBytes. Beyond that the stream is broken and the
+// owner must start a new one.
 #pragma once
 
 #include <cstdint>
@@ -25,31 +26,34 @@
 
 class Stream {
  public:
-  static constexpr std::size_t kMostUnacknowledged = 4 << 20;
-  static constexpr double kSendAgainMs = 150;
+  static constexpr std::size_t kMaxUnacknowledgedBytes = 4 << 20;
+  static constexpr double kRetransmitMs = 150;
 
-  Stream(LedgerId ledger, std::uint64_t epoch, std::uint64_t number, RelayLife holder,
+  Stream(LedgerId ledger, std::uint64_t epoch, std::uint64_t number, RelayId replica,
          std::vector<std::string> ids);
 
-  const RelayLife& holder() const { return holder_; }
-  // One message of what it begins with; the bytes of records in it.
-  std::size_t catchUp(const Contents& contents, std::uint64_t written, double nowMs, CopyStep& out);
-  bool catchingUp() const { return !wholeSent_; }
-  // Without records: a question whether all is held still, at this moment.
-  void add(const std::vector<std::string>& records, std::uint64_t written, double nowMs, CopyStep& out);
-  // Whether it told anything new.
-  bool onHeld(const HeldMessage& held);
-  void onTick(double nowMs, CopyStep& out);
-  // The holder has all up to there. 0: the table is not whole yet.
+  const RelayId& replica() const { return replica_; }
+  // Sends one message of the initial table. Returns the size of its records in bytes.
+  std::size_t catchUp(const PendingTable& pendingTable, std::uint64_t lastPosition, double nowMs,
+                      ReplicationStep& out);
+  bool catchingUp() const { return !tableSent_; }
+  // Sends `records`. An empty list sends a heartbeat, whose acknowledgment renews the lease.
+  void append(const std::vector<std::string>& records, std::uint64_t lastPosition, double nowMs,
+              ReplicationStep& out);
+  // Returns whether the acknowledgment changed the state of the stream.
+  bool onCopyAck(const CopyAck& ack);
+  void onTick(double nowMs, ReplicationStep& out);
+  // The replica stores all records up to this position. 0 while its table is incomplete.
   std::uint64_t position() const { return position_; }
-  // When the latest message that it acknowledged was first sent, by the own clock.
+  // The local time at which the latest acknowledged message was first sent.
   double ackedSentMs() const { return ackedSentMs_; }
   double lastSentMs() const { return lastSentMs_; }
-  bool broken() const { return broken_; }
-  bool full() const { return full_; }
+  bool isBroken() const { return broken_; }
+  bool isFull() const { return full_; }
   template <typename Archive>
   void fingerprint(Archive& ar) const {
-    ar(holder_, epoch_, number_, next_, wholeSent_, position_, ackedSentMs_, broken_, full_, sent_.size());
+    ar(replica_, epoch_, streamNumber_, nextSequence_, tableSent_, position_, ackedSentMs_, broken_, full_,
+       sent_.size());
   }
 
  private:
@@ -58,16 +62,16 @@
     double firstMs = 0, lastMs = 0;
     std::string payload;
   };
-  void send(std::vector<std::string> records, std::uint64_t written, double nowMs, CopyStep& out);
+  void send(std::vector<std::string> records, std::uint64_t lastPosition, double nowMs, ReplicationStep& out);
 
   LedgerId ledger_;
-  std::uint64_t epoch_, number_;
-  RelayLife holder_;
-  std::deque<std::string> ids_;
-  std::uint64_t next_ = 1;
-  bool wholeSent_ = false, broken_ = false, full_ = false;
+  std::uint64_t epoch_, streamNumber_;
+  RelayId replica_;
+  std::deque<std::string> idsToCopy_;
+  std::uint64_t nextSequence_ = 1;
+  bool tableSent_ = false, broken_ = false, full_ = false;
   std::deque<Sent> sent_;
-  std::size_t bytes_ = 0;
+  std::size_t unacknowledgedBytes_ = 0;
   std::uint64_t position_ = 0;
   double ackedSentMs_ = -1e300, lastSentMs_ = -1e300;
 };
--- a/src/copies/takeover.cpp
+++ b/src/copies/takeover.cpp
@@ -6,45 +6,46 @@
 
 namespace myrtleloft {
 
-void Takeover::ask(const std::string& holder, CopyStep& out) {
+void Takeover::requestFence(const std::string& replica, ReplicationStep& out) {
   out.sends.push_back(
-      {holder, FleetKind::kFence, encode(FenceMessage{ledger_, state_.epoch, pages_[holder].after})});
+      {replica, FleetKind::kFence, encode(FenceRequest{ledger_, state_.epoch, progress_[replica].after})});
 }
 
-void Takeover::onTick(double nowMs, CopyStep& out) {
-  if (done_ || beaten_ || nowMs - askedMs_ < kAskAgainMs) return;
-  askedMs_ = nowMs;
-  for (const RelayLife& holder : state_.ensemble) ask(holder.name, out);
+void Takeover::onTick(double nowMs, ReplicationStep& out) {
+  if (done_ || superseded_ || nowMs - lastRequestMs_ < kRetryMs) return;
+  lastRequestMs_ = nowMs;
+  for (const RelayId& replica : state_.ensemble) requestFence(replica.name, out);
 }
 
-void Takeover::onFenced(const std::string& from, const FencedMessage& fenced, double nowMs, CopyStep& out) {
-  if (done_ || fenced.epoch != state_.epoch) return;
-  // One that lost its folder since knows nothing of what it promised to hold.
-  const RelayLife holder{from, fenced.life};
-  if (std::find(state_.ensemble.begin(), state_.ensemble.end(), holder) == state_.ensemble.end()) return;
-  if (!fenced.done) {
-    beaten_ = true;
+void Takeover::onFenceResponse(const std::string& from, const FenceResponse& response, double nowMs,
+                               ReplicationStep& out) {
+  if (done_ || response.epoch != state_.epoch) return;
+  // A replica that has lost its state folder no longer has the records that it acknowledged.
+  const RelayId replica{from, response.life};
+  if (std::find(state_.ensemble.begin(), state_.ensemble.end(), replica) == state_.ensemble.end()) return;
+  if (!response.done) {
+    superseded_ = true;
     return;
   }
-  Pages& pages = pages_[from];
-  if (fenced.after != pages.after) return;
-  if (pages.fencedMs == 0) pages.fencedMs = nowMs;
-  for (const std::string& bytes : fenced.records) {
+  ReadProgress& progress = progress_[from];
+  if (response.after != progress.after) return;
+  if (progress.fencedMs == 0) progress.fencedMs = nowMs;
+  for (const std::string& bytes : response.records) {
     std::optional<Record> record = decode(bytes);
     if (!record) return;
-    if (auto* taken = std::get_if<AcceptedRecord>(&*record)) {
-      pages.after = taken->pending.id;
-      pages.requests.push_back(std::move(taken->pending));
+    if (auto* accepted = std::get_if<AcceptedRecord>(&*record)) {
+      progress.after = accepted->pending.id;
+      progress.requests.push_back(std::move(accepted->pending));
     }
   }
-  if (!fenced.last) {
-    ask(from, out);
+  if (!response.last) {
+    requestFence(from, out);
     return;
   }
   done_ = true;
-  fencedMs_ = pages.fencedMs;
-  requests_ = std::move(pages.requests);
-  pages_.clear();
+  fencedMs_ = progress.fencedMs;
+  requests_ = std::move(progress.requests);
+  progress_.clear();
 }
 
 }  // namespace myrtleloft
--- a/src/copies/takeover.h
+++ b/src/copies/takeover.h
@@ -1,13 +1,14 @@
-// What an heir does once the register names it: fences the holders of the ledger, and reads from one of them.
-// No I/O; time is passed in.
+// The steps of a new owner after the configuration register has named it: fences the ledger's replicas and
+// reads the pending requests from one of them. No I/O; time is passed in.
 //
-//   Takeover takeover(id, state);                 // `state`: as decided, with the heir as owner
-//   takeover.onTick(nowMs, step);                 // asks, and asks again
-//   takeover.onFenced("n2", fenced, nowMs, step);
+//   Takeover takeover(id, state);                 // `state`: as decided, with this relay as owner
+//   takeover.onTick(nowMs, step);                 // sends fence requests and retries them
+//   takeover.onFenceResponse("n2", response, nowMs, step);
 //   if (takeover.done()) ... takeover.requests(), takeover.fencedMs()
 //
-// One holder is enough: it has all that was ever promised, and without its word the former owner can neither
-// promise nor, for longer than a call's span, begin anything. None: it waits, and the ledger with it.
+// One replica is sufficient: it stores all durable records, and without its acknowledgments the former owner
+// cannot make further records durable, nor start calls once its lease has expired. While no replica responds
+// the takeover waits.
 #pragma once
 
 #include <map>
@@ -21,38 +22,39 @@
 
 class Takeover {
  public:
-  static constexpr double kAskAgainMs = 150;
+  static constexpr double kRetryMs = 150;
 
   Takeover(LedgerId ledger, LedgerState state) : ledger_(std::move(ledger)), state_(std::move(state)) {}
 
   const LedgerState& state() const { return state_; }
-  void onTick(double nowMs, CopyStep& out);
-  void onFenced(const std::string& from, const FencedMessage& fenced, double nowMs, CopyStep& out);
+  void onTick(double nowMs, ReplicationStep& out);
+  void onFenceResponse(const std::string& from, const FenceResponse& response, double nowMs,
+                       ReplicationStep& out);
   bool done() const { return done_; }
-  // A later heir fenced before.
-  bool beaten() const { return beaten_; }
-  // When the one that was read said that it is fenced: it was before.
+  // A later owner has already fenced a replica at a higher epoch.
+  bool superseded() const { return superseded_; }
+  // When the first response of the replica that was read arrived; the fence was set earlier.
   double fencedMs() const { return fencedMs_; }
   std::vector<PendingRequest> requests() { return std::move(requests_); }
   template <typename Archive>
   void fingerprint(Archive& ar) const {
-    ar(state_, done_, beaten_, fencedMs_);
-    for (const auto& [name, page] : pages_) ar(name, page.after, page.requests.size());
+    ar(state_, done_, superseded_, fencedMs_);
+    for (const auto& [name, progress] : progress_) ar(name, progress.after, progress.requests.size());
   }
 
  private:
-  struct Pages {
+  struct ReadProgress {
     std::string after;
     double fencedMs = 0;
     std::vector<PendingRequest> requests;
   };
-  void ask(const std::string& holder, CopyStep& out);
+  void requestFence(const std::string& replica, ReplicationStep& out);
 
   LedgerId ledger_;
   LedgerState state_;
-  std::map<std::string, Pages> pages_;
-  bool done_ = false, beaten_ = false;
-  double fencedMs_ = 0, askedMs_ = -kAskAgainMs;
+  std::map<std::string, ReadProgress> progress_;
+  bool done_ = false, superseded_ = false;
+  double fencedMs_ = 0, lastRequestMs_ = -kRetryMs;
   std::vector<PendingRequest> requests_;
 };
 
--- a/src/copies/voter.cpp
+++ b/src/copies/voter.cpp
@@ -12,187 +12,195 @@
 constexpr char kSelfKey[] = "voter";
 constexpr char kKnownKey[] = "lives";
 constexpr char kRegisterKey[] = "register/";
-constexpr std::size_t kRegistersInVote = 64;  // some 400 bytes each at the most names
+constexpr std::size_t kMaxRegistersPerResponse = 64;  // up to about 400 bytes each
 }  // namespace
 
-Voter::Voter(Self self, const Stored& stored, CopyStep& out) : self_(std::move(self)) {
+Acceptor::Acceptor(Self self, const StoredEntries& stored, ReplicationStep& out) : self_(std::move(self)) {
   if (const auto at = stored.find(kSelfKey); at != stored.end()) {
-    std::pair<std::uint64_t, bool> kept;
+    std::pair<std::uint64_t, bool> storedSelf;
     BufferInputArchive in(at->second);
-    in(kept.first, kept.second);
-    ordinal_ = kept.first;
-    votes_ = kept.second;
+    in(storedSelf.first, storedSelf.second);
+    ordinal_ = storedSelf.first;
+    active_ = storedSelf.second;
   } else {
-    if (planted(Flaw::kAmnesiacVotes)) votes_ = true;
-    keepSelf(out);
+    if (isInjected(InjectedBug::kEmptyAcceptorVotes)) active_ = true;
+    storeSelf(out);
   }
   if (const auto at = stored.find(kKnownKey); at != stored.end()) {
-    std::vector<KnownLife> known;
+    std::vector<KnownGeneration> known;
     if (read(at->second, known))
-      for (const KnownLife& k : known) known_[k.name] = k.mark;
+      for (const KnownGeneration& entry : known) known_[entry.name] = entry.generation;
   }
   for (auto at = stored.lower_bound(kRegisterKey); at != stored.end() && at->first.starts_with(kRegisterKey);
        ++at) {
-    RegisterCopy copy;
+    ConfigRegisterCopy copy;
     if (read(at->second, copy)) registers_[copy.ledger] = {copy.promised, copy.accepted, copy.value};
   }
 }
 
-std::size_t Voter::joinQuorum() const {
+std::size_t Acceptor::joinQuorumSize() const {
   const std::size_t all = self_.others.size() + 1, majority = all / 2 + 1;
   return all - majority + 1;
 }
 
-void Voter::onTick(double nowMs, CopyStep& out) {
-  if (votes_ || nowMs - askedMs_ < kAskAgainMs) return;
-  askedMs_ = nowMs;
+void Acceptor::onTick(double nowMs, ReplicationStep& out) {
+  if (active_ || nowMs - lastJoinRequestMs_ < kRetryMs) return;
+  lastJoinRequestMs_ = nowMs;
   for (const std::string& other : self_.others)
-    if (!sources_[other].done) ask(other, out);
+    if (!sources_[other].done) sendJoinRequest(other, out);
 }
 
-void Voter::ask(const std::string& to, CopyStep& out) {
-  VoteAsk ask;
-  ask.phase = VotePhase::kJoin;
-  ask.ledger = sources_[to].behind;
-  ask.ballot = {ordinal_, self_.life};
-  ask.mark = mark();
-  ask.blank = registers_.empty();
-  ask.known = known();
-  out.sends.push_back({to, FleetKind::kVoteAsk, encode(ask)});
+void Acceptor::sendJoinRequest(const std::string& to, ReplicationStep& out) {
+  AcceptorRequest request;
+  request.phase = RequestPhase::kJoin;
+  request.ledger = sources_[to].after;
+  request.ballot = {ordinal_, self_.life};
+  request.generation = generation();
+  request.registersEmpty = registers_.empty();
+  request.known = known();
+  out.sends.push_back({to, FleetKind::kVoteAsk, encode(request)});
 }
 
-std::optional<Vote> Voter::onAsk(const std::string& from, const VoteAsk& ask, CopyStep& out) {
-  if (ask.phase == VotePhase::kJoin) return onJoin(from, ask, out);
-  if (!votes_) return std::nullopt;
-  Register& r = registers_[ask.ledger];
-  Vote vote;
-  vote.phase = ask.phase;
-  vote.ledger = ask.ledger;
-  vote.ballot = ask.ballot;
-  vote.mark = mark();
-  vote.known = known();
-  const bool prepare = ask.phase == VotePhase::kPrepare;
-  vote.yes = ask.ballot >= r.promised;
-  if (!vote.yes) {
-    vote.accepted = r.promised;
-    return vote;
+std::optional<AcceptorResponse> Acceptor::onRequest(const std::string& from, const AcceptorRequest& request,
+                                                    ReplicationStep& out) {
+  if (request.phase == RequestPhase::kJoin) return onJoin(from, request, out);
+  if (!active_) return std::nullopt;
+  ConfigRegister& configRegister = registers_[request.ledger];
+  AcceptorResponse response;
+  response.phase = request.phase;
+  response.ledger = request.ledger;
+  response.ballot = request.ballot;
+  response.generation = generation();
+  response.known = known();
+  const bool prepare = request.phase == RequestPhase::kPrepare;
+  response.granted = request.ballot >= configRegister.promised;
+  if (!response.granted) {
+    response.accepted = configRegister.promised;
+    return response;
   }
   if (prepare) {
-    vote.accepted = r.accepted;
-    vote.value = r.value;
+    response.accepted = configRegister.accepted;
+    response.value = configRegister.value;
   } else {
-    r.accepted = ask.ballot;
-    r.value = ask.value;
+    configRegister.accepted = request.ballot;
+    configRegister.value = request.value;
   }
-  r.promised = ask.ballot;
-  keep(ask.ledger, out);
-  return vote;
+  configRegister.promised = request.ballot;
+  storeRegister(request.ledger, out);
+  return response;
 }
 
-Vote Voter::onJoin(const std::string& from, const VoteAsk& ask, CopyStep& out) {
-  learn(ask.known, out);
-  learn({from, ask.mark}, out);
-  Vote vote;
-  vote.phase = VotePhase::kJoin;
-  vote.ledger = ask.ledger;
-  vote.ballot = ask.ballot;
-  vote.mark = mark();
-  vote.yes = votes_ && known_[from] == ask.mark;
-  vote.known = known();
-  if (vote.yes) {
-    auto at = ask.ledger.maker.empty() ? registers_.begin() : registers_.upper_bound(ask.ledger);
-    for (; at != registers_.end() && vote.registers.size() < kRegistersInVote; ++at)
-      vote.registers.push_back({at->first, at->second.promised, at->second.accepted, at->second.value});
-    vote.last = at == registers_.end();
-  } else if (!votes_ && ask.blank && known_[from] == ask.mark) {
-    blanks_[from] = ask.known;
-    std::sort(blanks_[from].begin(), blanks_[from].end());
-    join(out);
+AcceptorResponse Acceptor::onJoin(const std::string& from, const AcceptorRequest& request,
+                                  ReplicationStep& out) {
+  learnGeneration(request.known, out);
+  learnGeneration({from, request.generation}, out);
+  AcceptorResponse response;
+  response.phase = RequestPhase::kJoin;
+  response.ledger = request.ledger;
+  response.ballot = request.ballot;
+  response.generation = generation();
+  response.granted = active_ && known_[from] == request.generation;
+  response.known = known();
+  if (response.granted) {
+    auto at = request.ledger.creator.empty() ? registers_.begin() : registers_.upper_bound(request.ledger);
+    for (; at != registers_.end() && response.registers.size() < kMaxRegistersPerResponse; ++at)
+      response.registers.push_back({at->first, at->second.promised, at->second.accepted, at->second.value});
+    response.last = at == registers_.end();
+  } else if (!active_ && request.registersEmpty && known_[from] == request.generation) {
+    emptyPeers_[from] = request.known;
+    std::sort(emptyPeers_[from].begin(), emptyPeers_[from].end());
+    activateIfReady(out);
   }
-  return vote;
+  return response;
 }
 
-void Voter::onVote(const std::string& from, const Vote& vote, CopyStep& out) {
-  const std::uint64_t asked = ordinal_;
-  learn(vote.known, out);
-  learn({from, vote.mark}, out);
-  if (votes_ || !vote.yes || vote.ballot != Ballot{asked, self_.life} || asked != ordinal_) return;
+void Acceptor::onResponse(const std::string& from, const AcceptorResponse& response, ReplicationStep& out) {
+  const std::uint64_t requestOrdinal = ordinal_;
+  learnGeneration(response.known, out);
+  learnGeneration({from, response.generation}, out);
+  if (active_ || !response.granted || response.ballot != Ballot{requestOrdinal, self_.life} ||
+      requestOrdinal != ordinal_)
+    return;
   Source& source = sources_[from];
-  if (source.done || source.behind != vote.ledger) return;
-  for (const RegisterCopy& told : vote.registers) {
-    Register& r = registers_[told.ledger];
-    r.promised = std::max(r.promised, told.promised);
-    if (told.accepted > r.accepted) {
-      r.accepted = told.accepted;
-      r.value = told.value;
+  if (source.done || source.after != response.ledger) return;
+  for (const ConfigRegisterCopy& reported : response.registers) {
+    ConfigRegister& configRegister = registers_[reported.ledger];
+    configRegister.promised = std::max(configRegister.promised, reported.promised);
+    if (reported.accepted > configRegister.accepted) {
+      configRegister.accepted = reported.accepted;
+      configRegister.value = reported.value;
     }
-    keep(told.ledger, out);
-    source.behind = told.ledger;
+    storeRegister(reported.ledger, out);
+    source.after = reported.ledger;
   }
-  source.done = vote.last;
+  source.done = response.last;
   if (source.done)
-    join(out);
+    activateIfReady(out);
   else
-    ask(from, out);
+    sendJoinRequest(from, out);
 }
 
-void Voter::join(CopyStep& out) {
+void Acceptor::activateIfReady(ReplicationStep& out) {
   const auto done = static_cast<std::size_t>(
       std::count_if(sources_.begin(), sources_.end(), [](const auto& s) { return s.second.done; }));
-  const std::vector<KnownLife> mine = known();
-  const bool founded = registers_.empty() && mine.size() == self_.others.size() + 1 &&
-                       std::all_of(self_.others.begin(), self_.others.end(), [&](const std::string& other) {
-                         const auto at = blanks_.find(other);
-                         return at != blanks_.end() && at->second == mine;
-                       });
-  if (done < joinQuorum() && !founded) return;
-  // Those who have not heard it yet would wait for it: each founds by what all others said.
-  if (founded)
-    for (const std::string& other : self_.others) ask(other, out);
-  votes_ = true;
-  keepSelf(out);
+  const std::vector<KnownGeneration> knownGenerations = known();
+  const bool foundsFleet =
+      registers_.empty() && knownGenerations.size() == self_.others.size() + 1 &&
+      std::all_of(self_.others.begin(), self_.others.end(), [&](const std::string& other) {
+        const auto at = emptyPeers_.find(other);
+        return at != emptyPeers_.end() && at->second == knownGenerations;
+      });
+  if (done < joinQuorumSize() && !foundsFleet) return;
+  // Each relay needs the final state of all others to become active, and this one stops sending join requests
+  // now, so it sends a last one.
+  if (foundsFleet)
+    for (const std::string& other : self_.others) sendJoinRequest(other, out);
+  active_ = true;
+  storeSelf(out);
   sources_.clear();
-  blanks_.clear();
+  emptyPeers_.clear();
 }
 
-std::vector<KnownLife> Voter::known() const {
-  std::vector<KnownLife> all{{self_.name, mark()}};
-  for (const auto& [name, mark] : known_) all.push_back({name, mark});
+std::vector<KnownGeneration> Acceptor::known() const {
+  std::vector<KnownGeneration> all{{self_.name, generation()}};
+  for (const auto& [name, generation] : known_) all.push_back({name, generation});
   std::sort(all.begin(), all.end());
   return all;
 }
 
-void Voter::learn(const std::vector<KnownLife>& known, CopyStep& out) {
-  for (const KnownLife& k : known) learn(k, out);
+void Acceptor::learnGeneration(const std::vector<KnownGeneration>& known, ReplicationStep& out) {
+  for (const KnownGeneration& entry : known) learnGeneration(entry, out);
 }
 
-void Voter::learn(const KnownLife& told, CopyStep& out) {
-  if (told.name == self_.name) {
-    // A folder of ours that was lost before it ever voted: the others must not take it for the later one.
-    if (told.mark.life == self_.life || told.mark < mark()) return;
-    ordinal_ = told.mark.ordinal + 1;
+void Acceptor::learnGeneration(const KnownGeneration& reported, ReplicationStep& out) {
+  if (reported.name == self_.name) {
+    // The others know a folder of this relay that was lost, possibly before it became active. Choose a larger
+    // ordinal, so that they do not regard that folder as the later one.
+    if (reported.generation.life == self_.life || reported.generation < generation()) return;
+    ordinal_ = reported.generation.ordinal + 1;
     sources_.clear();
-    keepSelf(out);
+    storeSelf(out);
     return;
   }
-  if (std::find(self_.others.begin(), self_.others.end(), told.name) == self_.others.end()) return;
-  if (told.mark <= known_[told.name]) return;
-  known_[told.name] = told.mark;
-  std::vector<KnownLife> all;
-  for (const auto& [name, mark] : known_) all.push_back({name, mark});
+  if (std::find(self_.others.begin(), self_.others.end(), reported.name) == self_.others.end()) return;
+  if (reported.generation <= known_[reported.name]) return;
+  known_[reported.name] = reported.generation;
+  std::vector<KnownGeneration> all;
+  for (const auto& [name, generation] : known_) all.push_back({name, generation});
   out.stores.push_back({kKnownKey, bytesOf(all)});
 }
 
-void Voter::keep(const LedgerId& id, CopyStep& out) {
-  const Register& r = registers_[id];
-  out.stores.push_back(
-      {kRegisterKey + bytesOf(id), bytesOf(RegisterCopy{id, r.promised, r.accepted, r.value})});
+void Acceptor::storeRegister(const LedgerId& id, ReplicationStep& out) {
+  const ConfigRegister& configRegister = registers_[id];
+  out.stores.push_back({kRegisterKey + bytesOf(id),
+                        bytesOf(ConfigRegisterCopy{id, configRegister.promised, configRegister.accepted,
+                                                   configRegister.value})});
 }
 
-void Voter::keepSelf(CopyStep& out) {
+void Acceptor::storeSelf(ReplicationStep& out) {
   std::string bytes;
   BufferOutputArchive archive(bytes);
-  archive(ordinal_, votes_);
+  archive(ordinal_, active_);
   out.stores.push_back({kSelfKey, bytes});
 }
 
--- a/src/copies/voter.h
+++ b/src/copies/voter.h
@@ -1,22 +1,24 @@
-// One relay's vote at the registers of all ledgers: CASPaxos (Rystsov, 2018), an acceptor for each, and what
-// keeps a relay that lost its folder from forgetting what it voted. No I/O.
+// The CASPaxos acceptor (Rystsov, 2018) of one relay for the configuration registers of all ledgers. It also
+// prevents a relay that lost its state folder from contradicting its earlier responses. No I/O.
 //
-//   Voter voter({"n1", life, {"n2", "n3"}}, stored);
-//   voter.onTick(nowMs, step);                    // asks to join until it may vote
-//   if (auto vote = voter.onAsk("n2", ask, step)) ...   // to be sent to n2 once `step.stores` are done
-//   voter.onVote("n2", vote, step);               // of the kind kJoin
+//   Acceptor acceptor({"n1", life, {"n2", "n3"}}, stored, step);
+//   acceptor.onTick(nowMs, step);                 // sends join requests until the acceptor is active
+//   if (auto response = acceptor.onRequest("n2", request, step)) ...   // send it after `step.stores` are
+//   durable acceptor.onResponse("n2", response, step);    // for responses of phase kJoin
 //
-// A relay with an empty folder may not vote. It tells the others its new life, which they keep before they
-// answer, and takes over the registers of `joinQuorum` of them that vote: each quorum that its old life was
-// in had another member among those. That one had voted already, so that the vote is taken over; or it votes
-// later, says then that the old life is over, and whoever counts the votes leaves the old life's out
-// (proposer.h). Both halves are needed; in the manner of Michael, Ports, Sharma and Szekeres, 'Recovering
-// Shared Objects Without Stable Storage' (2017).
+// An acceptor with an empty state folder is inactive. It announces its new folder generation to the other
+// relays, which store it before they respond, and copies the registers of `joinQuorumSize` active acceptors.
+// Each quorum that the old generation belonged to has another member among these. If that member had already
+// responded to the proposer, its response is copied. If it responds later, it reports that the old generation
+// is superseded, and the proposer discards the old generation's response (proposer.h). Both halves are
+// necessary; compare Michael, Ports, Sharma and Szekeres, 'Recovering Shared Objects Without Stable Storage'
+// (2017).
 //
-// A fleet's first voters found it: when every relay said, empty as it was, that it knows of all present
-// lives, then no older folder is left anywhere that could know of a vote.
+// The first acceptors of a fleet become active when every relay, with empty registers, reports that it knows
+// the current generation of all relays: then no older folder exists that could have responded to a proposer.
 //
-// Bounded by the registers: some 200 bytes each. An ask costs O(log registers), one to join O(kFullMessage).
+// Memory is proportional to the number of registers, some 200 bytes each. A request costs O(log registers), a
+// join request O(kMessageBytes).
 #pragma once
 
 #include <cstdint>
@@ -31,63 +33,69 @@
 
 namespace myrtleloft {
 
-class Voter {
+class Acceptor {
  public:
   struct Self {
     std::string name;
     std::uint64_t life = 0;
     std::vector<std::string> others;  // all other relays of the fleet
   };
-  struct Register {
+  struct ConfigRegister {
     Ballot promised, accepted;
     LedgerState value;
   };
-  static constexpr double kAskAgainMs = 200;
+  static constexpr double kRetryMs = 200;
 
-  // `stored`: what this class ever put into `stores`; empty for a folder that was.
-  Voter(Self self, const Stored& stored, CopyStep& out);
+  // `stored`: the entries that this class has written through `stores`; none if the state folder is new.
+  Acceptor(Self self, const StoredEntries& stored, ReplicationStep& out);
 
-  bool votes() const { return votes_; }
-  void onTick(double nowMs, CopyStep& out);
-  std::optional<Vote> onAsk(const std::string& from, const VoteAsk& ask, CopyStep& out);
-  void onVote(const std::string& from, const Vote& vote, CopyStep& out);
-  // As this relay last took them; not what was decided.
-  const std::map<LedgerId, Register>& registers() const { return registers_; }
-  std::size_t joinQuorum() const;
+  // Whether this acceptor responds to prepare and accept requests.
+  bool isActive() const { return active_; }
+  void onTick(double nowMs, ReplicationStep& out);
+  // Returns std::nullopt if the acceptor must not respond.
+  std::optional<AcceptorResponse> onRequest(const std::string& from, const AcceptorRequest& request,
+                                            ReplicationStep& out);
+  void onResponse(const std::string& from, const AcceptorResponse& response, ReplicationStep& out);
+  // The values that this acceptor last accepted, which are not necessarily decided.
+  const std::map<LedgerId, ConfigRegister>& registers() const { return registers_; }
+  // The number of active acceptors whose registers a joining acceptor must copy.
+  std::size_t joinQuorumSize() const;
   template <typename Archive>
   void fingerprint(Archive& ar) const;
 
  private:
-  LifeMark mark() const { return {ordinal_, self_.life}; }
-  std::vector<KnownLife> known() const;
-  void learn(const std::vector<KnownLife>& known, CopyStep& out);
-  void learn(const KnownLife& told, CopyStep& out);
-  void keep(const LedgerId& id, CopyStep& out);
-  void keepSelf(CopyStep& out);
-  void join(CopyStep& out);
-  Vote onJoin(const std::string& from, const VoteAsk& ask, CopyStep& out);
-  void ask(const std::string& to, CopyStep& out);
+  FolderGeneration generation() const { return {ordinal_, self_.life}; }
+  std::vector<KnownGeneration> known() const;
+  void learnGeneration(const std::vector<KnownGeneration>& known, ReplicationStep& out);
+  void learnGeneration(const KnownGeneration& reported, ReplicationStep& out);
+  void storeRegister(const LedgerId& id, ReplicationStep& out);
+  void storeSelf(ReplicationStep& out);
+  void activateIfReady(ReplicationStep& out);
+  AcceptorResponse onJoin(const std::string& from, const AcceptorRequest& request, ReplicationStep& out);
+  void sendJoinRequest(const std::string& to, ReplicationStep& out);
 
   Self self_;
-  bool votes_ = false;
+  bool active_ = false;
   std::uint64_t ordinal_ = 1;
-  std::map<std::string, LifeMark> known_;  // of the others
-  std::map<LedgerId, Register> registers_;
-  // While it joins:
+  std::map<std::string, FolderGeneration> known_;  // generations of the other relays
+  std::map<LedgerId, ConfigRegister> registers_;
+  // State while joining:
   struct Source {
-    LedgerId behind;
+    LedgerId after;
     bool done = false;
   };
   std::map<std::string, Source> sources_;
-  std::map<std::string, std::vector<KnownLife>> blanks_;  // what the others knew when they were empty
-  double askedMs_ = -kAskAgainMs;
+  std::map<std::string, std::vector<KnownGeneration>>
+      emptyPeers_;  // generations known to the others while their registers were empty
+  double lastJoinRequestMs_ = -kRetryMs;
 };
 
 template <typename Archive>
-void Voter::fingerprint(Archive& ar) const {
-  ar(votes_, ordinal_, known_.size(), registers_.size());
-  for (const auto& [name, mark] : known_) ar(name, mark.ordinal, mark.life);
-  for (const auto& [id, r] : registers_) ar(id, r.promised, r.accepted, r.value);
+void Acceptor::fingerprint(Archive& ar) const {
+  ar(active_, ordinal_, known_.size(), registers_.size());
+  for (const auto& [name, generation] : known_) ar(name, generation.ordinal, generation.life);
+  for (const auto& [id, configRegister] : registers_)
+    ar(id, configRegister.promised, configRegister.accepted, configRegister.value);
 }
 
 }  // namespace myrtleloft
--- a/tests/copies_referee.h
+++ b/tests/copies_referee.h
@@ -1,4 +1,5 @@
-// Holds a drawn world to the rules of copies, by what its relays did and never by their word for it.
+// Checks the invariants of replication in a simulated fleet by the observed actions of its relays, not by
+// their internal state.
 #pragma once
 
 #include <algorithm>
@@ -12,79 +13,87 @@
 
 namespace myrtleloft {
 
-class CopiesReferee {
+class ReplicationChecker {
  public:
   void owned(const LedgerId& ledger, const LedgerState& state) {
-    const auto [at, fresh] = owners_.try_emplace({ledger, state.epoch}, state);
-    if (!fresh && !(at->second == state)) say("one epoch decided twice");
+    const auto [at, inserted] = owners_.try_emplace({ledger, state.epoch}, state);
+    if (!inserted && !(at->second == state)) reportViolation("two values decided for one epoch");
   }
-  void promised(const LedgerId& ledger, std::uint64_t epoch, const std::string& id, bool once) {
-    Request& r = requests_[id];
-    r.ledger = ledger;
-    r.once = once;
-    r.promised = true;
-    ++promises;
-    const auto last = heirs_.find(ledger);
-    if (!r.ended && last != heirs_.end() && last->second.first > epoch && !last->second.second.contains(id))
-      say("promised, and the new owner does not know: " + id);
+  void durable(const LedgerId& ledger, std::uint64_t epoch, const std::string& id, bool nonIdempotent) {
+    Request& request = requests_[id];
+    request.ledger = ledger;
+    request.nonIdempotent = nonIdempotent;
+    request.durable = true;
+    ++durableRequests;
+    const auto last = latestTakeovers_.find(ledger);
+    if (!request.answered && last != latestTakeovers_.end() && last->second.first > epoch &&
+        !last->second.second.contains(id))
+      reportViolation("durable request unknown to the new owner: " + id);
   }
-  void took(const LedgerId& ledger, std::uint64_t epoch, const std::vector<PendingRequest>& found,
-            bool heir) {
+  void takenOver(const LedgerId& ledger, std::uint64_t epoch, const std::vector<PendingRequest>& found,
+                 bool byTakeover) {
     std::set<std::string> ids;
-    for (const PendingRequest& owed : found) ids.insert(owed.id);
-    // One that won long ago and hears of it late: a later one has fenced what it would need to act.
-    if (const auto last = heirs_.find(ledger); last != heirs_.end() && epoch < last->second.first) return;
-    for (const auto& [id, r] : requests_) {
-      if (!(r.ledger == ledger)) continue;
-      if (r.promised && !r.ended && !ids.contains(id)) say("promised and lost: " + id);
-      if (r.endedHeld && ids.contains(id)) say("ended and revived: " + id);
+    for (const PendingRequest& pendingRequest : found) ids.insert(pendingRequest.id);
+    // A relay that learns of its takeover only after a later one cannot act: the later owner fenced the
+    // replicas.
+    if (const auto last = latestTakeovers_.find(ledger);
+        last != latestTakeovers_.end() && epoch < last->second.first)
+      return;
+    for (const auto& [id, request] : requests_) {
+      if (!(request.ledger == ledger)) continue;
+      if (request.durable && !request.answered && !ids.contains(id))
+        reportViolation("durable request lost: " + id);
+      if (request.completionDurable && ids.contains(id))
+        reportViolation("completed request pending again: " + id);
     }
-    if (heir) ++takeovers;
-    auto& last = heirs_[ledger];
+    if (byTakeover) ++takeovers;
+    auto& last = latestTakeovers_[ledger];
     if (epoch >= last.first) last = {epoch, std::move(ids)};
   }
-  void begun(std::uint64_t epoch, const std::string& id, bool once) {
-    Request& r = requests_[id];
+  // Call this when the first byte of a call is sent.
+  void callStarted(std::uint64_t epoch, const std::string& id, bool nonIdempotent) {
+    Request& request = requests_[id];
     ++calls;
-    if (once && r.calls > 0) say("begun twice: " + id);
-    if (r.endedHeld) say("begun after its end was held: " + id);
-    if (once && r.ended) say("begun after its end was told: " + id);
-    ++r.calls;
-    acted(epoch, id);
+    if (nonIdempotent && request.calls > 0) reportViolation("non-idempotent request called twice: " + id);
+    if (request.completionDurable) reportViolation("called after its completion was durable: " + id);
+    if (nonIdempotent && request.answered)
+      reportViolation("non-idempotent request called after its final status: " + id);
+    ++request.calls;
+    recordAction(epoch, id);
   }
-  // The answer of a call that was begun.
-  void delivered(const std::string& id) { requests_[id].ended = true; }
-  void toldAsDead(std::uint64_t epoch, const std::string& id) {
-    requests_[id].ended = true;
-    acted(epoch, id);
+  // A call that was started has been answered.
+  void delivered(const std::string& id) { requests_[id].answered = true; }
+  void reportedFailed(std::uint64_t epoch, const std::string& id) {
+    requests_[id].answered = true;
+    recordAction(epoch, id);
   }
-  void endedHeld(const std::string& id) { requests_[id].endedHeld = true; }
-  void close() {
-    for (const auto& [id, r] : requests_)
-      if (r.promised && !r.ended) say("promised and never ended: " + id);
+  void completionDurable(const std::string& id) { requests_[id].completionDurable = true; }
+  void checkAllAnswered() {
+    for (const auto& [id, request] : requests_)
+      if (request.durable && !request.answered) reportViolation("durable request never completed: " + id);
   }
-  void say(const std::string& what) { broken.push_back(what); }
+  void reportViolation(const std::string& what) { violations.push_back(what); }
 
-  std::vector<std::string> broken;
-  double nowMs = 0;  // of the world
-  int promises = 0, takeovers = 0, calls = 0;
+  std::vector<std::string> violations;
+  double nowMs = 0;  // simulated time
+  int durableRequests = 0, takeovers = 0, calls = 0;
 
  private:
   struct Request {
     LedgerId ledger;
-    bool once = false, promised = false, ended = false, endedHeld = false;
+    bool nonIdempotent = false, durable = false, answered = false, completionDurable = false;
     int calls = 0;
-    std::uint64_t epoch = 0;  // the highest under which anybody acted on it
+    std::uint64_t epoch = 0;  // highest epoch under which any relay acted on the request
   };
-  void acted(std::uint64_t epoch, const std::string& id) {
-    Request& r = requests_[id];
-    if (epoch < r.epoch) say("a former owner acts after the new one: " + id);
-    r.epoch = std::max(r.epoch, epoch);
+  void recordAction(std::uint64_t epoch, const std::string& id) {
+    Request& request = requests_[id];
+    if (epoch < request.epoch) reportViolation("former owner acted after the new owner: " + id);
+    request.epoch = std::max(request.epoch, epoch);
   }
 
   std::map<std::pair<LedgerId, std::uint64_t>, LedgerState> owners_;
   std::map<std::string, Request> requests_;
-  std::map<LedgerId, std::pair<std::uint64_t, std::set<std::string>>> heirs_;
+  std::map<LedgerId, std::pair<std::uint64_t, std::set<std::string>>> latestTakeovers_;
 };
 
 }  // namespace myrtleloft
--- a/tests/copies_register_test.cpp
+++ b/tests/copies_register_test.cpp
@@ -1,5 +1,5 @@
-// The registers: messages, votes, changes; and drawn worlds of voters that lose their folders, where one
-// epoch may never be decided twice.
+// Randomized tests of Acceptor and Proposer: acceptors lose their state folders, messages are reordered, lost
+// and duplicated, and no epoch of a register may be decided with two values.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -18,16 +18,16 @@
 
 const LedgerId kLedger{"n0", {7, 1}, 3};
 
-struct Wire {
+struct InFlightMessage {
   std::string from, to;
   FleetKind kind;
   std::string payload;
 };
 
-// Voters and proposers of one register, and all messages between them in no order.
+// Acceptors and proposers of one register; their messages are delivered in random order.
 class Fleet {
  public:
-  Fleet(std::size_t count, std::uint32_t seed) : random_(seed), fromTheStart_(seed % 8 == 0) {
+  Fleet(std::size_t count, std::uint32_t seed) : random_(seed), losesFoldersBeforeFounding_(seed % 8 == 0) {
     for (std::size_t i = 0; i < count; ++i) names_.push_back("n" + std::to_string(i));
     for (const std::string& name : names_) {
       relays_[name];
@@ -36,136 +36,137 @@
   }
 
   void start(const std::string& name, bool empty) {
-    Relay& r = relays_[name];
+    Relay& node = relays_[name];
     if (empty) {
-      r.folder.clear();
-      r.life = random_() | 1;
+      node.folder.clear();
+      node.life = random_() | 1;
     }
     std::vector<std::string> others;
     for (const std::string& other : names_)
       if (other != name) others.push_back(other);
-    CopyStep step;
-    r.voter.emplace(Voter::Self{name, r.life, others}, r.folder, step);
-    r.proposer.emplace(kLedger, names_);
-    if (empty) r.last = {};
-    carryOut(name, step);
-    // With the last folder all is gone, and a new fleet is founded.
+    ReplicationStep step;
+    node.acceptor.emplace(Acceptor::Self{name, node.life, others}, node.folder, step);
+    node.proposer.emplace(kLedger, names_);
+    if (empty) node.last = {};
+    execute(name, step);
+    // If no relay has registers left, all state is lost and the relays form a new fleet.
     for (const auto& [other, relay] : relays_)
-      if (!relay.voter || relay.voter->votes() || !relay.voter->registers().empty()) return;
+      if (!relay.acceptor || relay.acceptor->isActive() || !relay.acceptor->registers().empty()) return;
     decided_.clear();
     for (auto& [other, relay] : relays_) relay.last = {};
   }
 
-  void turn() {
+  void advance() {
     nowMs_ += 5;
-    founded_ = founded_ || voters() == names_.size();
+    founded_ = founded_ || acceptors() == names_.size();
     const std::string& name = names_[random_() % names_.size()];
-    Relay& r = relays_[name];
-    CopyStep step;
+    Relay& node = relays_[name];
+    ReplicationStep step;
     const auto dice = random_() % 100;
-    if (dice < 80 && !wires_.empty()) {
-      const std::size_t at = random_() % wires_.size();
-      const Wire wire = wires_[at];
-      if (random_() % 8 != 0) {  // else it comes once more
-        wires_[at] = wires_.back();
-        wires_.pop_back();
+    if (dice < 80 && !inFlight_.empty()) {
+      const std::size_t at = random_() % inFlight_.size();
+      const InFlightMessage message = inFlight_[at];
+      if (random_() % 8 != 0) {  // otherwise it is duplicated
+        inFlight_[at] = inFlight_.back();
+        inFlight_.pop_back();
       }
-      if (random_() % 10 != 0) deliver(wire);
+      if (random_() % 10 != 0) deliver(message);
       return;
     }
     if (dice < 94) {
-      r.voter->onTick(nowMs_, step);
-      r.proposer->onTick(nowMs_, random_(), step);
-    } else if (dice < 97 && founded_ && !r.proposer->busy()) {
-      LedgerState wanted;
-      wanted.epoch = r.last.epoch + 1;
-      wanted.owner = name;
-      wanted.start = {random_() | 1, 1};
-      r.proposer->change(r.last, wanted, nowMs_, random_(), step);
-    } else if (dice == 99 && (founded_ || fromTheStart_) && random_() % 3 == 0) {
+      node.acceptor->onTick(nowMs_, step);
+      node.proposer->onTick(nowMs_, random_(), step);
+    } else if (dice < 97 && founded_ && !node.proposer->busy()) {
+      LedgerState desired;
+      desired.epoch = node.last.epoch + 1;
+      desired.owner = name;
+      desired.start = {random_() | 1, 1};
+      node.proposer->change(node.last, desired, nowMs_, random_(), step);
+    } else if (dice == 99 && (founded_ || losesFoldersBeforeFounding_) && random_() % 3 == 0) {
       start(name, random_() % 2 == 0);
       return;
     }
-    carryOut(name, step);
+    execute(name, step);
   }
 
   bool broken() const { return broken_; }
   std::size_t decisions() const { return decided_.size(); }
-  std::size_t voters() const {
+  std::size_t acceptors() const {
     std::size_t n = 0;
-    for (const auto& [name, r] : relays_) n += r.voter->votes() ? 1 : 0;
+    for (const auto& [name, node] : relays_) n += node.acceptor->isActive() ? 1 : 0;
     return n;
   }
 
  private:
   struct Relay {
-    Stored folder;
+    StoredEntries folder;
     std::uint64_t life = 0;
-    std::optional<Voter> voter;
+    std::optional<Acceptor> acceptor;
     std::optional<Proposer> proposer;
-    LedgerState last;  // that was decided, as far as it knows
+    LedgerState last;  // latest decided state that this relay has seen
   };
 
-  void carryOut(const std::string& name, CopyStep& step) {
-    for (const CopyStore& s : step.stores) relays_[name].folder[s.key] = s.bytes;
-    for (CopySend& s : step.sends) wires_.push_back({name, s.to, s.kind, std::move(s.payload)});
+  void execute(const std::string& name, ReplicationStep& step) {
+    for (const StoreWrite& s : step.stores) relays_[name].folder[s.key] = s.bytes;
+    for (OutgoingMessage& s : step.sends) inFlight_.push_back({name, s.to, s.kind, std::move(s.payload)});
   }
 
-  void deliver(const Wire& wire) {
-    Relay& r = relays_[wire.to];
-    CopyStep step;
-    if (wire.kind == FleetKind::kVoteAsk) {
-      VoteAsk ask;
-      if (!decode(wire.payload, ask)) std::abort();
-      if (auto vote = r.voter->onAsk(wire.from, ask, step))
-        step.sends.push_back({wire.from, FleetKind::kVote, encode(*vote)});
+  void deliver(const InFlightMessage& message) {
+    Relay& node = relays_[message.to];
+    ReplicationStep step;
+    if (message.kind == FleetKind::kVoteAsk) {
+      AcceptorRequest request;
+      if (!decode(message.payload, request)) std::abort();
+      if (auto response = node.acceptor->onRequest(message.from, request, step))
+        step.sends.push_back({message.from, FleetKind::kVote, encode(*response)});
     } else {
-      Vote vote;
-      if (!decode(wire.payload, vote)) std::abort();
-      if (vote.phase == VotePhase::kJoin)
-        r.voter->onVote(wire.from, vote, step);
-      else if (const bool was = r.proposer->busy(); was) {
-        r.proposer->onVote(wire.from, vote, nowMs_, random_(), step);
-        if (!r.proposer->busy()) note(r, *r.proposer->decided());
+      AcceptorResponse response;
+      if (!decode(message.payload, response)) std::abort();
+      if (response.phase == RequestPhase::kJoin)
+        node.acceptor->onResponse(message.from, response, step);
+      else if (const bool was = node.proposer->busy(); was) {
+        node.proposer->onResponse(message.from, response, nowMs_, random_(), step);
+        if (!node.proposer->busy()) checkDecision(node, *node.proposer->decided());
       }
     }
-    carryOut(wire.to, step);
+    execute(message.to, step);
   }
 
-  void note(Relay& r, const LedgerState& state) {
+  void checkDecision(Relay& node, const LedgerState& state) {
     if (state.epoch == 0) {
       broken_ = broken_ || !decided_.empty();
       return;
     }
-    // One value for each epoch, and what is decided is never lost: an older one may only come from a change
-    // that was begun before.
+    // Each epoch has one value, and a decided value is never lost. An older value can only result from a
+    // change that started earlier.
     const auto [at, fresh] = decided_.try_emplace(state.epoch, state);
     if (!fresh && !(at->second == state)) broken_ = true;
-    if (state.epoch > r.last.epoch) r.last = state;
+    if (state.epoch > node.last.epoch) node.last = state;
   }
 
   std::mt19937 random_;
   std::vector<std::string> names_;
   std::map<std::string, Relay> relays_;
-  std::vector<Wire> wires_;
+  std::vector<InFlightMessage> inFlight_;
   std::map<std::uint64_t, LedgerState> decided_;
   double nowMs_ = 0;
-  bool fromTheStart_ = false, founded_ = false;  // folders are lost even before the first voters are there
+  bool losesFoldersBeforeFounding_ = false,
+       founded_ = false;  // lose folders even before the first acceptors are active
   bool broken_ = false;
 };
 
-// How many of the seeds break, and how much is decided in all.
-std::pair<int, std::size_t> play(std::size_t relays, std::uint32_t seeds, Flaw flaw) {
-  plantedFlaw = flaw;
+// Returns the number of seeds that violate the invariant and the total number of decisions.
+std::pair<int, std::size_t> play(std::size_t relays, std::uint32_t seeds, InjectedBug bug) {
+  injectedBug = bug;
   int broken = 0;
   std::size_t decisions = 0;
   for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
     Fleet fleet(relays, seed);
-    for (int i = 0; i < 3000 && !fleet.broken(); ++i) fleet.turn();
+    for (int i = 0; i < 3000 && !fleet.broken(); ++i) fleet.advance();
     broken += fleet.broken() ? 1 : 0;
     decisions += fleet.decisions();
   }
-  plantedFlaw = Flaw::kNone;
+  injectedBug = InjectedBug::kNone;
   return {broken, decisions};
 }
 
@@ -174,11 +175,11 @@
 TEST_CASE("no epoch of a register is decided twice, whoever loses a folder") {
   for (const std::size_t relays : {2U, 3U, 4U, 5U}) {
     CAPTURE(relays);
-    const auto [broken, decisions] = play(relays, 60, Flaw::kNone);
+    const auto [broken, decisions] = play(relays, 60, InjectedBug::kNone);
     CHECK(broken == 0);
     CHECK(decisions > 60);
     MESSAGE(relays << " relays: " << decisions << " decisions");
   }
 }
 
-TEST_CASE("voters that forget are found") { CHECK(play(3, 60, Flaw::kAmnesiacVotes).first > 0); }
+TEST_CASE("voters that forget are found") { CHECK(play(3, 60, InjectedBug::kEmptyAcceptorVotes).first > 0); }
--- a/tests/copies_site.h
+++ b/tests/copies_site.h
@@ -1,4 +1,5 @@
-// One relay of a drawn world: its copies, its folder and journal, and what an exchange would do with them.
+// One relay of a simulated fleet: its replication, state folder and journal, and the request handling around
+// them.
 #pragma once
 
 #include <functional>
@@ -13,65 +14,65 @@
 
 namespace myrtleloft {
 
-class CopiesSite {
+class SimulatedRelay {
  public:
   struct World {
-    std::function<void(const std::string& from, CopySend send)> send;
-    std::function<void(const std::string& at, double inMs, std::function<void()>)> later;
+    std::function<void(const std::string& from, OutgoingMessage send)> send;
+    std::function<void(const std::string& at, double inMs, std::function<void()>)> schedule;
     std::function<std::uint32_t()> random;
-    CopiesReferee* referee = nullptr;
+    ReplicationChecker* checker = nullptr;
   };
 
-  CopiesSite(CopiesSetup setup, double rate, World world)
+  SimulatedRelay(ReplicationSetup setup, double rate, World world)
       : setup_(std::move(setup)), rate_(rate), offsetMs_(world.random() % 100000), world_(std::move(world)) {}
 
   const std::string& name() const { return setup_.name; }
-  bool up() const { return copies_.has_value(); }
-  const Copies& copies() const { return *copies_; }
+  bool up() const { return replication_.has_value(); }
+  const Replication& replication() const { return *replication_; }
   Incarnation incarnation() const { return setup_.self; }
   void start(double realMs);
-  void crash(bool losesFolder);
-  // The next carrying out stops after so many stores, as if the process had been killed there.
-  void crashAfter(std::size_t stores) { storesLeft_ = stores; }
+  void crash(bool losesStateFolder);
+  // The next execution of a step stops after this number of stores, as if the process had been killed.
+  void crashAfterWrites(std::size_t stores) { writesUntilCrash_ = stores; }
   void tick(double realMs);
   void deliver(double realMs, const std::string& from, FleetKind kind, const std::string& payload);
-  void heard(double realMs, const std::string& from, Incarnation incarnation);
+  void onHeartbeat(double realMs, const std::string& from, Incarnation incarnation);
   void request(double realMs, const std::string& id);
   bool settled() const;
 
  private:
-  enum class Phase { kTaking, kOwed, kAttempting, kLeaving, kCalling };
+  enum class Phase { kReplicating, kPending, kAttempting, kSending, kInFlight };
   struct Item {
     LedgerId ledger;
-    Phase phase = Phase::kTaking;
+    Phase phase = Phase::kReplicating;
     std::uint64_t position = 0;
     double fromMs = 0;
-    PendingRequest owed;
+    PendingRequest pendingRequest;
   };
-  static bool once(const std::string& id) { return id.front() == 'o'; }
+  static bool nonIdempotent(const std::string& id) { return id.front() == 'o'; }
   double clock(double realMs) const { return offsetMs_ + realMs * rate_; }
-  void carryOut(double realMs, CopyStep& step);
-  void onNews(double realMs, CopyNews& news);
-  void act(double realMs, const std::string& id);
+  void execute(double realMs, ReplicationStep& step);
+  void onEvent(double realMs, ReplicationEvent& event);
+  void advance(double realMs, const std::string& id);
   void firstByte(double realMs, const std::string& id);
   void onOutcome(double realMs, const std::string& id, bool ok);
   void finish(double realMs, const std::string& id);
-  std::uint64_t record(double realMs, Item& item, const Record& record, bool now);
+  std::uint64_t record(double realMs, Item& item, const Record& record, bool flushNow);
 
-  CopiesSetup setup_;
+  ReplicationSetup setup_;
   double rate_, offsetMs_;
   World world_;
-  Stored folder_;
-  std::map<LedgerId, Contents> journal_;
-  std::optional<Copies> copies_;
-  std::map<std::string, Item> items_;
-  std::map<LedgerId, std::vector<std::pair<std::uint64_t, std::string>>> ends_;
-  struct Heard {
+  StoredEntries folder_;
+  std::map<LedgerId, PendingTable> journal_;
+  std::optional<Replication> replication_;
+  std::map<std::string, Item> requests_;
+  std::map<LedgerId, std::vector<std::pair<std::uint64_t, std::string>>> pendingCompletions_;
+  struct LastHeartbeat {
     double atMs = -1e9;
     Incarnation incarnation;
   };
-  std::map<std::string, Heard> heard_;
-  std::optional<std::size_t> storesLeft_;
+  std::map<std::string, LastHeartbeat> lastHeartbeats_;
+  std::optional<std::size_t> writesUntilCrash_;
 };
 
 }  // namespace myrtleloft
--- a/tests/copies_world.h
+++ b/tests/copies_world.h
@@ -1,12 +1,13 @@
-// A drawn world of copies under virtual time: relays that crash with and without their folder, stall, lose
-// links both ways or one; messages late, lost, doubled and out of order; clocks that run apart. All from a
-// seed.
+// A simulated fleet under virtual time. Relays crash with and without loss of their state folder, stall, and
+// lose links in one or both directions; messages are delayed, lost, duplicated and reordered; clocks drift. A
+// run is determined by its seed.
 //
-//   CopiesWorld world({3, 2}, seed);
+//   SimulatedFleet world({3, 2}, seed);
 //   world.run();
-//   world.referee().broken             // what rules were broken; empty
+//   world.checker().violations         // violated invariants; empty if none
 //
-// A folder is lost only while all else is whole: every relay up and voting, every ledger on all its holders.
+// A state folder is lost only while the fleet is healthy: every relay is up with an active acceptor, and
+// every ledger is on all its replicas.
 #pragma once
 
 #include <deque>
@@ -23,50 +24,51 @@
 
 namespace myrtleloft {
 
-class CopiesWorld {
+class SimulatedFleet {
  public:
   struct Plan {
-    std::size_t relays = 3, copies = 2;
+    std::size_t relays = 3, replicaCount = 2;
     double faultsMs = 9000, quietMs = 7000;
   };
-  CopiesWorld(Plan plan, std::uint32_t seed);
+  SimulatedFleet(Plan plan, std::uint32_t seed);
 
   void run();
-  const CopiesReferee& referee() const { return referee_; }
-  int lostFolders() const { return lostFolders_; }
+  const ReplicationChecker& checker() const { return checker_; }
+  int lostFolderCount() const { return lostFolderCount_; }
 
  private:
   struct Event {
     double atMs;
     std::uint64_t number;
-    std::string relay;  // waits while it stalls; empty: of the world
+    std::string relay;  // deferred while this relay stalls; empty for events of the simulation
     std::function<void()> what;
     bool operator<(const Event& other) const {
       return std::pair(atMs, number) > std::pair(other.atMs, other.number);
     }
   };
 
-  void later(const std::string& relay, double inMs, std::function<void()> what);
-  void send(const std::string& from, CopySend send);
+  void schedule(const std::string& relay, double inMs, std::function<void()> what);
+  void send(const std::string& from, OutgoingMessage send);
   void tick(const std::string& relay);
   void fault();
-  bool cut(const std::string& from, const std::string& to) const {
-    return cuts_.contains({from, to}) && nowMs() < cuts_.at({from, to});
+  bool isCut(const std::string& from, const std::string& to) const {
+    return linkCutUntil_.contains({from, to}) && nowMs() < linkCutUntil_.at({from, to});
   }
-  double nowMs() const { return referee_.nowMs; }
-  std::uint32_t below(std::uint32_t bound) { return static_cast<std::uint32_t>(random_()) % bound; }
+  double nowMs() const { return checker_.nowMs; }
+  std::uint32_t randomBelow(std::uint32_t bound) { return static_cast<std::uint32_t>(random_()) % bound; }
 
   Plan plan_;
   std::mt19937 random_;
-  CopiesReferee referee_;
+  ReplicationChecker checker_;
   std::vector<std::string> names_;
-  std::map<std::string, std::unique_ptr<CopiesSite>> sites_;
+  std::map<std::string, std::unique_ptr<SimulatedRelay>> relays_;
   std::priority_queue<Event> events_;
   std::uint64_t number_ = 0;
   std::map<std::string, double> stalledUntil_;
-  std::map<std::pair<std::string, std::string>, double> cuts_;
-  std::map<std::pair<std::string, std::string>, double> lastMs_;  // when the last one comes
-  int requests_ = 0, lostFolders_ = 0;
+  std::map<std::pair<std::string, std::string>, double> linkCutUntil_;
+  std::map<std::pair<std::string, std::string>, double>
+      lastDeliveryMs_;  // delivery time of the link's last message
+  int requests_ = 0, lostFolderCount_ = 0;
 };
 
 }  // namespace myrtleloft
