--- a/src/copies/copies.cpp
+++ b/src/copies/copies.cpp
@@ -77,16 +77,16 @@
 
 void Replication::onDecided(const LedgerId& id, ManagedLedger& managed, double nowMs, ReplicationStep& out) {
   const LedgerState state = *managed.proposer.decided();
-  const bool asAsked = state == managed.proposedState;
+  const bool decidedAsProposed = state == managed.proposedState;
   switch (managed.stage) {
     case Stage::kOpening:
-      if (!asAsked) return abandon(id, managed, out);
+      if (!decidedAsProposed) return abandon(id, managed, out);
       becomeOwner(id, managed, state, {});
       onRequestsJournaled(id, out);
       break;
     case Stage::kReadingRegister:
     case Stage::kResuming:
-      if (managed.stage == Stage::kResuming && asAsked) {
+      if (managed.stage == Stage::kResuming && decidedAsProposed) {
         auto requests = std::move(managed.requests);
         becomeOwner(id, managed, state, requests);
         out.events.push_back({ReplicationEventKind::kTakenOver, id, state, 0, nowMs, std::move(requests)});
@@ -103,7 +103,7 @@
       }
       break;
     case Stage::kAcquiring:
-      if (!asAsked) {
+      if (!decidedAsProposed) {
         ledgers_.erase(id);
         return;
       }
--- a/src/copies/copies.h
+++ b/src/copies/copies.h
@@ -119,7 +119,7 @@
     kLost,
   };
   struct ManagedLedger {
-    explicit ManagedLedger(Proposer p) : proposer(std::move(p)) {}
+    explicit ManagedLedger(Proposer initial) : proposer(std::move(initial)) {}
     Stage stage = Stage::kOpening;
     Proposer proposer;
     LedgerState proposedState;
@@ -135,6 +135,7 @@
   void onDecided(const LedgerId& id, ManagedLedger& managed, double nowMs, ReplicationStep& out);
   void becomeOwner(const LedgerId& id, ManagedLedger& managed, const LedgerState& state,
                    std::vector<PendingRequest> requests);
+  // Drops a ledger that another relay owns.
   void abandon(const LedgerId& id, ManagedLedger& managed, ReplicationStep& out);
   void onFenceResponse(const std::string& from, const FenceResponse& response, double nowMs,
                        ReplicationStep& out);
@@ -154,7 +155,7 @@
   std::uint64_t random();
 
   ReplicationSetup setup_;
-  std::vector<std::string> relays_;
+  std::vector<std::string> relays_;  // all relays of the fleet, including this one
   Acceptor acceptor_;
   Replica replica_;
   std::map<std::string, ReplicationMember> members_;
--- a/tests/copies_parts_test.cpp
+++ b/tests/copies_parts_test.cpp
@@ -31,15 +31,15 @@
 CopyAck copy(Replica& replica, CopyRequest message, StoredEntries* folder = nullptr,
              std::size_t stores = 1000) {
   ReplicationStep step;
-  CopyAck held = replica.onCopy(message, step);
-  for (const StoreWrite& s : step.stores) {
+  CopyAck ack = replica.onCopy(message, step);
+  for (const StoreWrite& write : step.stores) {
     if (!folder || stores-- == 0) break;
-    if (s.bytes.empty())
-      folder->erase(s.key);
+    if (write.bytes.empty())
+      folder->erase(write.key);
     else
-      (*folder)[s.key] = s.bytes;
+      (*folder)[write.key] = write.bytes;
   }
-  return held;
+  return ack;
 }
 std::size_t readable(Replica& replica, std::uint64_t epoch) {
   ReplicationStep step;
