--- a/bench/fleet_members_bench.cpp
+++ b/bench/fleet_members_bench.cpp
@@ -21,14 +21,14 @@
   double messages = 0, bytes = 0, mostBytes = 0;  // a second for each relay; of the busiest
 };
 
-Rate rateOver(WatchedMembers& all, double spanMs) {
+Rate rateOver(WatchedMembers& all, double suspicionTimeoutMs) {
   std::vector<DrawnFleet::Sent> before;
   for (int i = 0; i < all.fleet.size(); ++i) before.push_back(all.fleet.sent(i));
-  all.fleet.runUntil(all.fleet.nowMs() + spanMs);
+  all.fleet.runUntil(all.fleet.nowMs() + suspicionTimeoutMs);
   Rate rate;
   for (int i = 0; i < all.fleet.size(); ++i) {
     const auto& was = before[static_cast<std::size_t>(i)];
-    const double s = spanMs / 1000;
+    const double s = suspicionTimeoutMs / 1000;
     const double bytes = static_cast<double>(all.fleet.sent(i).bytes - was.bytes) / s;
     rate.messages += static_cast<double>(all.fleet.sent(i).messages - was.messages) / s / all.fleet.size();
     rate.bytes += bytes / all.fleet.size();
@@ -75,9 +75,9 @@
     WatchedMembers all(relays, static_cast<std::uint64_t>(seed), traits);
     all.startAll();
     all.fleet.runUntil(8000 + all.fleet.drawn(0, 1000));
-    span = all.at(1)->spanMs();
+    span = all.at(1)->suspicionTimeoutMs();
     all.fleet.crash(0, Folder::kLost, told);
-    if (const auto ms = all.untilAllSay(0, Standing::kDead, 120000, 5)) {
+    if (const auto ms = all.untilAllSay(0, MemberState::kDead, 120000, 5)) {
       times.push_back(*ms);
     } else {
       ++missed;
--- a/lab/members_node.h
+++ b/lab/members_node.h
@@ -28,7 +28,7 @@
     take(std::move(step));
     return true;
   }
-  void onPeerRoom(const std::string&) override {}
+  void onPeerWritable(const std::string&) override {}
   const Members& members() const { return members_; }
   const PeerIntroduction& self() const { return port_.self(); }
   double nowMs() const { return port_.nowMs(); }
--- a/lab/watched_members.h
+++ b/lab/watched_members.h
@@ -36,16 +36,16 @@
   }
   bool runs(int i) { return fleet.node(i) != nullptr; }
   // Whether all that run believe that of it.
-  bool allSay(int about, Standing standing) {
+  bool allSay(int target, MemberState state) {
     for (int i = 0; i < fleet.size(); ++i) {
-      if (i != about && runs(i) && at(i)->standing(nameOf(about)) != standing) return false;
+      if (i != target && runs(i) && at(i)->state(nameOf(target)) != state) return false;
     }
     return true;
   }
   // Until all that run say so, in ms from now; nothing: not within `mostMs`.
-  std::optional<double> untilAllSay(int about, Standing standing, double mostMs, double stepMs = 10) {
+  std::optional<double> untilAllSay(int target, MemberState state, double mostMs, double stepMs = 10) {
     const double from = fleet.nowMs();
-    while (!allSay(about, standing)) {
+    while (!allSay(target, state)) {
       if (fleet.nowMs() - from > mostMs) return std::nullopt;
       fleet.runUntil(fleet.nowMs() + stepMs);
     }
@@ -60,7 +60,7 @@
   }
   bool allWell() {
     for (int i = 0; i < fleet.size(); ++i) {
-      if (runs(i) && (at(i)->mustAsk() || !allSay(i, Standing::kAlive))) return false;
+      if (runs(i) && (at(i)->isCatchingUp() || !allSay(i, MemberState::kAlive))) return false;
     }
     return true;
   }
@@ -85,7 +85,7 @@
   // Deaths of relays that ran, and were not called dead for the start before. With suspicions likewise.
   struct False {
     double atMs;
-    std::string by, about;
+    std::string by, target;
   };
   std::vector<False> falseDeaths, falseSuspicions;
   int out = -1;  // one that stands still now, and is no third
@@ -93,10 +93,10 @@
 
  private:
   void note(const MembersNode& by, const MemberChange& change) {
-    if (change.is != Standing::kDead && change.is != Standing::kSuspect) return;
+    if (change.is != MemberState::kDead && change.is != MemberState::kSuspect) return;
     for (int i = 0; i < fleet.size(); ++i) {
       if (nameOf(i) != change.name || !runs(i) || fleet.self(i).incarnation != change.incarnation) continue;
-      (change.is == Standing::kDead ? falseDeaths : falseSuspicions)
+      (change.is == MemberState::kDead ? falseDeaths : falseSuspicions)
           .push_back({by.nowMs(), by.self().name, change.name});
     }
   }
--- a/src/audit/audit_message.h
+++ b/src/audit/audit_message.h
@@ -24,7 +24,7 @@
 namespace myrtleloft {
 
 // Of a step at most half as much goes, of a window three quarters.
-inline constexpr std::size_t kMostAuditMessage = kMostFleetPayload;
+inline constexpr std::size_t kMostAuditMessage = kMaxFleetPayloadBytes;
 
 enum class NodeLevel : std::uint8_t { kBranches, kCases, kSteps, kStep };
 struct NodeName {
--- a/src/audit/rules_version.cpp
+++ b/src/audit/rules_version.cpp
@@ -60,7 +60,7 @@
   for (const QuotaPlan::Node& n : q.nodes)
     nodes.push_back(bytesOf(n.name, n.parent, n.tenant, n.unit, n.rest, n.messages, n.calls, n.worth));
   std::sort(nodes.begin(), nodes.end());
-  return bytes += bytesOf(nodes, file.fleet.copies, file.fleet.whenShort, file.fleet.auditEveryS);
+  return bytes += bytesOf(nodes, file.fleet.copies, file.fleet.whenShort, file.fleet.auditIntervalS);
 }
 
 std::string canonicalEntry(std::string_view uid, const EndpointInfo& e) {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -106,7 +106,7 @@
 // that the other half is left for clients and calls.
 void checkFleet(const Config& config) {
   const FleetPlan& plan = config.operatorFile.fleet;
-  if (!plan.on) return;
+  if (!plan.enabled) return;
   if (!isFleetName(config.name)) rejectKey("name", "'" + config.name + "' is not a valid name in a fleet");
   const FleetNeeds needs = fleetNeeds(plan.peers.size(), config.memoryBytes);
   const std::string prefix = std::to_string(plan.peers.size()) + " peers need up to ";
--- a/src/config/fleet_section.cpp
+++ b/src/config/fleet_section.cpp
@@ -35,7 +35,7 @@
     if (peer.name == name) return "each name only once";
     if (peer.address.text == address->text) return "each address only once";
   }
-  if (plan.peers.size() == kMostPeers) return std::to_string(kMostPeers) + " peers at most";
+  if (plan.peers.size() == kMaxPeers) return std::to_string(kMaxPeers) + " peers at most";
   plan.peers.push_back({name, *address});
   return std::nullopt;
 }
@@ -65,7 +65,7 @@
 }  // namespace
 
 void readFleet(SectionReader& reader, const std::string& relay, FleetPlan& plan) {
-  plan.on = true;
+  plan.enabled = true;
   readIdentity(reader, plan);
   reader.forEachText("peers", kExpectedPeer,
                      [&](const std::string& text) { return addPeer(text, relay, plan); });
@@ -75,7 +75,7 @@
     rejectIfNotImplemented(popularity, "warm_kb", kPopularityImplemented);
   });
   reader.section("audit", [&](SectionReader& audit) {
-    plan.auditEveryS =
+    plan.auditIntervalS =
         static_cast<int>(audit.integer("every_s", 1, kMaxAuditSeconds).value_or(kDefaultAuditSeconds));
   });
   std::sort(plan.peers.begin(), plan.peers.end(),
--- a/src/config/live_config.cpp
+++ b/src/config/live_config.cpp
@@ -98,7 +98,7 @@
     environment_ = std::move(environment);
     config_.discovery = fresh.discovery;
     // Other keys of the section, and adding or removing the section, take effect at the next start.
-    if (config_.operatorFile.fleet.on && fresh.operatorFile.fleet.on)
+    if (config_.operatorFile.fleet.enabled && fresh.operatorFile.fleet.enabled)
       config_.operatorFile.fleet.peers = fresh.operatorFile.fleet.peers;
     const std::optional<std::string> difference =
         firstDifference(appliedAtStart_, restartPart(environment_, file.text), "");
--- a/src/copies/copies.h
+++ b/src/copies/copies.h
@@ -52,7 +52,7 @@
 
 struct CopiesMember {
   std::string name;
-  Standing standing = Standing::kUnknown;
+  MemberState standing = MemberState::kUnknown;
   Incarnation incarnation;
   std::string building;
   double room = 1;
--- a/src/copies/copies_tick.cpp
+++ b/src/copies/copies_tick.cpp
@@ -103,7 +103,7 @@
   const auto at = members_.find(holder.name);
   if (at == members_.end()) return true;  // not heard of since the own start
   const CopiesMember& m = at->second;
-  return m.standing != Standing::kDead && (m.incarnation.life == 0 || m.incarnation.life == holder.life);
+  return m.standing != MemberState::kDead && (m.incarnation.life == 0 || m.incarnation.life == holder.life);
 }
 
 std::vector<RelayLife> Copies::holdersFor(const LedgerId& id, const Ledger* ledger) const {
@@ -117,7 +117,7 @@
     const auto in = [&](const std::vector<RelayLife>& e) {
       return std::find(e.begin(), e.end(), relay) != e.end();
     };
-    if (m.standing != Standing::kAlive || relay.life == 0 || in(kept) || in(full)) continue;
+    if (m.standing != MemberState::kAlive || relay.life == 0 || in(kept) || in(full)) continue;
     if (ledger && ledger->full(relay)) continue;
     candidates.push_back({relay, m.building, m.room});
   }
@@ -152,8 +152,8 @@
   const auto at = members_.find(state.owner);
   if (at == members_.end()) return false;
   const CopiesMember& m = at->second;
-  return m.standing == Standing::kDead || (m.standing == Standing::kAlive && m.incarnation.life != 0 &&
-                                           m.incarnation.life != state.start.life);
+  return m.standing == MemberState::kDead || (m.standing == MemberState::kAlive && m.incarnation.life != 0 &&
+                                              m.incarnation.life != state.start.life);
 }
 
 void Copies::takeOver(double nowMs, CopyStep& out) {
@@ -166,7 +166,7 @@
     const double since = goneSince_.try_emplace(id, nowMs).first->second;
     std::vector<RelayLife> living{{setup_.name, setup_.self.life}};
     for (const auto& [name, m] : members_)
-      if (m.standing == Standing::kAlive) living.push_back({name, m.incarnation.life});
+      if (m.standing == MemberState::kAlive) living.push_back({name, m.incarnation.life});
     const auto order = heirOrder(id, r.value.ensemble, std::move(living));
     const auto rank = std::find(order.begin(), order.end(), setup_.name) - order.begin();
     if (nowMs - since < static_cast<double>(rank) * setup_.heirStepMs) continue;
--- a/src/copies/messages.h
+++ b/src/copies/messages.h
@@ -20,8 +20,8 @@
 inline constexpr std::size_t kMostName = 64;
 inline constexpr std::size_t kMostHolders = 8;
 inline constexpr std::size_t kMostRelays = 128;
-// Of records in one message: what leaves room for heads in kMostFleetPayload, with one record of the largest
-// body (64 KiB) beyond it.
+// Of records in one message: what leaves room for heads in kMaxFleetPayloadBytes, with one record of the
+// largest body (64 KiB) beyond it.
 inline constexpr std::size_t kFullMessage = 32 * 1024;
 
 enum class VotePhase : std::uint8_t { kPrepare, kAccept, kJoin };
--- a/src/fleet/bounds.h
+++ b/src/fleet/bounds.h
@@ -20,11 +20,11 @@
 
 namespace myrtleloft {
 
-inline constexpr std::size_t kLeastQueueBytes = 160 * 1024, kMostQueueBytes = 1024 * 1024,
+inline constexpr std::size_t kMinQueueBytes = 160 * 1024, kMaxQueueBytes = 1024 * 1024,
                              kMembersLaneBytes = 32 * 1024, kQueuesPerMemory = 16;
 inline constexpr std::size_t kReadChunkBytes = 16 * 1024;  // net/socket.h reads so much at once
-inline constexpr std::size_t kMostHelloPayload = 1024;
-inline constexpr std::size_t kMostStrangers = 16;
+inline constexpr std::size_t kMaxHelloPayloadBytes = 1024;
+inline constexpr std::size_t kMaxPendingIntroductions = 16;
 
 struct FleetNeeds {
   int descriptors = 0;
@@ -33,16 +33,16 @@
 
 // The queue of one of so many peers.
 inline std::size_t queueBytesFor(std::size_t peers, std::size_t memoryBytes) {
-  return std::clamp(memoryBytes / kQueuesPerMemory / std::max<std::size_t>(1, peers), kLeastQueueBytes,
-                    kMostQueueBytes);
+  return std::clamp(memoryBytes / kQueuesPerMemory / std::max<std::size_t>(1, peers), kMinQueueBytes,
+                    kMaxQueueBytes);
 }
 
 // At the most, with each queue as long as it may be.
 inline FleetNeeds fleetNeeds(std::size_t peers, std::size_t memoryBytes) {
   const std::size_t peer =
-      queueBytesFor(peers, memoryBytes) + kMembersLaneBytes + kMostFleetPayload + kReadChunkBytes;
-  return {static_cast<int>(1 + 2 * peers + kMostStrangers),
-          peers * peer + kMostStrangers * (kMostHelloPayload + kReadChunkBytes)};
+      queueBytesFor(peers, memoryBytes) + kMembersLaneBytes + kMaxFleetPayloadBytes + kReadChunkBytes;
+  return {static_cast<int>(1 + 2 * peers + kMaxPendingIntroductions),
+          peers * peer + kMaxPendingIntroductions * (kMaxHelloPayloadBytes + kReadChunkBytes)};
 }
 
 }  // namespace myrtleloft
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -7,8 +7,8 @@
 //   fleet.print(out);                    // the line "counters fleet: ..."
 //
 // A process that stood still (SIGSTOP, a stolen core) may have missed that it was called dead and that others
-// act for it. Whatever wakes it, the members are told before anything else is made of it; `mustAsk` tells
-// them too, for those whom the loop wakes earlier.
+// act for it. Whatever wakes it, the members are told before anything else is made of it; `isCatchingUp`
+// tells them too, for those whom the loop wakes earlier.
 //
 // One thread; handlers never wait, `start` waits for the disk once.
 #pragma once
@@ -61,20 +61,20 @@
   void onBatch(double nowMs, const std::vector<Event>& events) { audit_->onBatch(nowMs, events); }
   void print(std::ostream& out) const;
   // Whether this relay must hear of more than half of its fleet before it acts on what it owes; see Members.
-  bool mustAsk();
+  bool isCatchingUp();
 
  private:
   void onPeerUp(const PeerIntroduction& peer) override;
   void onPeerDown(const std::string& peer) override;
   bool onPeerMessage(const std::string& peer, FleetKind kind, std::string_view payload) override;
-  void onPeerRoom(const std::string& peer) override;
+  void onPeerWritable(const std::string& peer) override;
 
-  void keepIncarnation();
+  void storeIncarnation();
   // First of all in each handler.
-  void wake();
+  void checkForStall();
   // Sends what the members say, tells what has changed, and comes back at their next moment.
-  void take(Members::Step step);
-  void tell(const MemberChange& change) const;
+  void applyStep(Members::Step step);
+  void logChange(const MemberChange& change) const;
   double nowMs() const { return parts_.loop.nowMs(); }
 
   Parts parts_;
@@ -84,8 +84,8 @@
   std::optional<AuditDriver> audit_;
   std::optional<Members> members_;
   Loop::Timer timer_ = Loop::kNoTimer;
-  double dueMs_ = 0;        // when the members are to be called again
-  bool mustAsked_ = false;  // as last told
+  double dueMs_ = 0;                 // when the members are to be called again
+  bool reportedCatchingUp_ = false;  // as last told
   std::uint64_t stalls_ = 0;
 };
 
--- a/src/fleet/frame.cpp
+++ b/src/fleet/frame.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::string_view kMagic = "MYRL";
 constexpr std::size_t kVersionAt = 4, kKindAt = 5, kLengthAt = 8, kHeadCheckAt = 12, kCheckAt = 16;
-constexpr std::size_t kKeptBytes = 4096;  // of an empty buffer; more is given back
+constexpr std::size_t kRetainedCapacityBytes = 4096;  // of an empty buffer; more is given back
 
 std::uint64_t hash(std::string_view bytes, std::uint64_t seed) {
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
@@ -59,8 +59,8 @@
 }
 
 std::string& FrameReader::buffer() {
-  buffer_.erase(0, std::exchange(at_, 0));
-  if (buffer_.empty() && buffer_.capacity() > kKeptBytes) std::string().swap(buffer_);
+  buffer_.erase(0, std::exchange(offset_, 0));
+  if (buffer_.empty() && buffer_.capacity() > kRetainedCapacityBytes) std::string().swap(buffer_);
   return buffer_;
 }
 
@@ -71,7 +71,7 @@
 
 FrameReader::State FrameReader::next(Frame& frame) {
   if (fault_ != FrameFault::kNone) return State::kBad;
-  const std::string_view left = std::string_view(buffer_).substr(at_);
+  const std::string_view left = std::string_view(buffer_).substr(offset_);
   // What cannot become a frame is not waited for.
   const std::size_t seen = std::min(left.size(), kMagic.size());
   if (left.substr(0, seen) != kMagic.substr(0, seen)) return bad(FrameFault::kNoFrame);
@@ -80,7 +80,7 @@
   if (left.size() < kFrameHeaderBytes) return State::kMore;
   if (get<std::uint32_t>(left, kHeadCheckAt) != headCheck(left)) return bad(FrameFault::kChecksum);
   const std::size_t length = get<std::uint32_t>(left, kLengthAt);
-  if (length > most_) return bad(FrameFault::kOversized);
+  if (length > maxPayloadBytes_) return bad(FrameFault::kOversized);
   if (left.size() < kFrameHeaderBytes + length) return State::kMore;
   frame.payload = left.substr(kFrameHeaderBytes, length);
   if (get<std::uint64_t>(left, kCheckAt) != check(left, frame.payload)) return bad(FrameFault::kChecksum);
@@ -89,7 +89,7 @@
       kind > static_cast<std::uint8_t>(FleetKind::kAudit))
     return bad(FrameFault::kUnknownKind);
   frame.kind = static_cast<FleetKind>(kind);
-  at_ += kFrameHeaderBytes + length;
+  offset_ += kFrameHeaderBytes + length;
   return State::kFrame;
 }
 
@@ -104,7 +104,8 @@
   BufferInputArchive in(payload);
   in(peer);
   return in.left() == 0 && isFleetName(peer.fleet) && isFleetName(peer.name) &&
-         peer.building.size() <= kMostBuilding && peer.incarnation.life != 0 && peer.incarnation.start != 0;
+         peer.building.size() <= kMaxBuildingNameBytes && peer.incarnation.life != 0 &&
+         peer.incarnation.start != 0;
 } catch (const std::exception&) {
   return false;
 }
--- a/src/fleet/frame.h
+++ b/src/fleet/frame.h
@@ -1,6 +1,6 @@
 // How a message stands on a link: a fixed header, then the payload. No I/O.
 //
-//   std::string bytes = frameOf(FleetKind::kQuestion, payload);
+//   std::string bytes = frameOf(FleetKind::kPing, payload);
 //   FrameReader reader;
 //   reader.buffer() += received;
 //   while (reader.next(frame) == FrameReader::State::kFrame) use(frame.kind, frame.payload);
@@ -9,7 +9,7 @@
 //         4      version, kFleetVersion
 //         5      kind
 //         6-7    zero
-//         8-11   length of the payload, kMostFleetPayload at most
+//         8-11   length of the payload, kMaxFleetPayloadBytes at most
 //         12-15  check of bytes 0-11: a spoilt length is not waited for
 //         16-23  check of bytes 0-15 and the payload
 //
@@ -27,7 +27,7 @@
 
 inline constexpr std::size_t kFrameHeaderBytes = 24;
 
-// O(payload); the payload is no longer than kMostFleetPayload.
+// O(payload); the payload is no longer than kMaxFleetPayloadBytes.
 std::string frameOf(FleetKind kind, std::string_view payload, std::uint8_t version = kFleetVersion);
 
 enum class FrameFault : std::uint8_t { kNone, kNoFrame, kVersion, kChecksum, kOversized, kUnknownKind };
@@ -46,17 +46,17 @@
   std::string& buffer();
   State next(Frame& frame);
   FrameFault fault() const { return fault_; }
-  // Payloads beyond it are refused; kMostFleetPayload at first.
-  void allow(std::size_t bytes) { most_ = bytes; }
+  // Payloads beyond it are refused; kMaxFleetPayloadBytes at first.
+  void allow(std::size_t bytes) { maxPayloadBytes_ = bytes; }
   // Bytes of a frame that has begun and is not whole.
-  bool midFrame() const { return buffer_.size() > at_; }
+  bool midFrame() const { return buffer_.size() > offset_; }
 
  private:
   State bad(FrameFault fault);
 
   std::string buffer_;
-  std::size_t at_ = 0;  // where the next frame begins
-  std::size_t most_ = kMostFleetPayload;
+  std::size_t offset_ = 0;  // where the next frame begins
+  std::size_t maxPayloadBytes_ = kMaxFleetPayloadBytes;
   FrameFault fault_ = FrameFault::kNone;
 };
 
--- a/src/fleet/incarnation.cpp
+++ b/src/fleet/incarnation.cpp
@@ -75,9 +75,9 @@
 
 }  // namespace
 
-KeptIncarnation nextIncarnation(const IncarnationParts& parts, const std::string& folder,
-                                std::uint64_t salt) {
-  KeptIncarnation kept;
+StoredIncarnation nextIncarnation(const IncarnationParts& parts, const std::string& folder,
+                                  std::uint64_t salt) {
+  StoredIncarnation kept;
   Incarnation before;
   const auto bytes = parts.files.read(folder + "/" + kIncarnationName);
   const int unread = bytes ? 0 : bytes.error().number;
--- a/src/fleet/incarnation.h
+++ b/src/fleet/incarnation.h
@@ -1,6 +1,6 @@
 // Which start of which life of a relay this is, kept in the state folder: the file `incarnation`.
 //
-//   const KeptIncarnation mine = nextIncarnation({files, journal}, folder, salt);
+//   const StoredIncarnation mine = nextIncarnation({files, journal}, folder, salt);
 //
 // Written anew beside the old file, synced and renamed, before it is used: no two starts with one folder have
 // the same one, loss of power included. A folder without the file, or with one that is damaged, begins a new
@@ -19,7 +19,7 @@
 
 inline constexpr const char* kIncarnationName = "incarnation";
 
-struct KeptIncarnation {
+struct StoredIncarnation {
   Incarnation incarnation;
   std::string damage;  // what was wrong with the file that was there; empty: nothing, or there was none
   std::string fault;   // why this one could not be kept; empty: it is
@@ -32,6 +32,7 @@
 
 // Once for each start, with the folder's lock held and what is there counted. `salt`: random, not 0. It waits
 // for the disk.
-KeptIncarnation nextIncarnation(const IncarnationParts& parts, const std::string& folder, std::uint64_t salt);
+StoredIncarnation nextIncarnation(const IncarnationParts& parts, const std::string& folder,
+                                  std::uint64_t salt);
 
 }  // namespace myrtleloft
--- a/src/fleet/link.cpp
+++ b/src/fleet/link.cpp
@@ -59,7 +59,7 @@
                        : Phase::kIntroducing),
       beganMs_(loop.nowMs()) {
   if (!fd_) return;
-  reader_.allow(kMostHelloPayload);
+  reader_.allow(kMaxHelloPayloadBytes);
   set(fd_, SOL_SOCKET, SO_SNDBUF, kKernelBytes);
   set(fd_, SOL_SOCKET, SO_RCVBUF, kKernelBytes);
   set(fd_, SOL_SOCKET, SO_KEEPALIVE, 1);
@@ -86,18 +86,18 @@
 void Link::comeUp() {
   phase_ = Phase::kUp;
   beganMs_ = loop_.nowMs();
-  reader_.allow(kMostFleetPayload);
+  reader_.allow(kMaxFleetPayloadBytes);
 }
 
 void Link::queue(Lane lane, FleetKind kind, std::string_view payload) {
   if (phase_ == Phase::kClosed) return;
   const double now = loop_.nowMs();
   if (!writing()) writeSinceMs_ = now;
-  if (kind == FleetKind::kQuestion && askedMs_ == 0) askedMs_ = now;
+  if (kind == FleetKind::kPing && pingSentMs_ == 0) pingSentMs_ = now;
   std::string frame = frameOf(kind, payload);
   bytes_[static_cast<int>(lane)] += frame.size();
   lanes_[static_cast<int>(lane)].push_back(std::move(frame));
-  if (phase_ != Phase::kConnecting) wanted();
+  if (phase_ != Phase::kConnecting) updatePollEvents();
 }
 
 LinkEnd Link::overdue() const {
@@ -107,14 +107,14 @@
   if (phase_ == Phase::kIntroducing && longer(beganMs_, tuning_.helloMs))
     return reader_.midFrame() ? LinkEnd::kTorn : LinkEnd::kNoHello;
   if (phase_ != Phase::kUp) return LinkEnd::kClosed;
-  if (longer(frameSinceMs_, tuning_.tornMs)) return LinkEnd::kTorn;
+  if (longer(frameSinceMs_, tuning_.frameTimeoutMs)) return LinkEnd::kTorn;
   if (writing() && longer(writeSinceMs_, tuning_.stallMs)) return LinkEnd::kStalled;
-  return longer(askedMs_, tuning_.silentMs) ? LinkEnd::kSilent : LinkEnd::kClosed;
+  return longer(pingSentMs_, tuning_.silenceTimeoutMs) ? LinkEnd::kSilent : LinkEnd::kClosed;
 }
 
-void Link::forgive() {
+void Link::restartTimeouts() {
   const double now = loop_.nowMs();
-  for (double* since : {&frameSinceMs_, &writeSinceMs_, &askedMs_})
+  for (double* since : {&frameSinceMs_, &writeSinceMs_, &pingSentMs_})
     if (*since > 0) *since = now;
   if (phase_ != Phase::kUp) beganMs_ = now;
 }
@@ -125,7 +125,7 @@
     phase_ = Phase::kIntroducing;
     beganMs_ = loop_.nowMs();
     owner_.onConnected(*this);
-    if (fd_) wanted();
+    if (fd_) updatePollEvents();
     return;
   }
   if (revents & (POLLIN | POLLHUP | POLLERR)) read();
@@ -140,7 +140,7 @@
     if (io == Io::kWouldBlock) return;
     if (io != Io::kProgress) return end(LinkEnd::kClosed);
     left -= std::min(left, buffer.size() - before);
-    askedMs_ = 0;
+    pingSentMs_ = 0;
     if (!deliver()) return;
   }
 }
@@ -185,7 +185,7 @@
   std::string().swap(out_);  // idle links keep no room
   written_ = 0;
   for (int i = 0; i < 2; ++i) bytes_[i] -= std::exchange(outBytes_[i], 0);
-  wanted();
+  updatePollEvents();
   owner_.onWritten(*this);
 }
 
--- a/src/fleet/link.h
+++ b/src/fleet/link.h
@@ -21,13 +21,14 @@
 // Spans in ms. From the protocol: a peer that lives answers a hello in a round trip; each span leaves seconds
 // for a stalled one.
 struct LinkTuning {
-  double helloMs = 2000;   // from the connection's begin to the other's hello
-  double tornMs = 5000;    // from a frame's first byte to its last
-  double stallMs = 5000;   // something waits, and nothing could be written
-  double silentMs = 5000;  // after a question nothing came
-  double duelMs = 1000;    // a link so old gives way to a new one: its peer would not dial, had it this one
-  double firstPauseMs = 100, mostPauseMs = 5000;  // between two dials; doubles, half of it jitter
-  double headStartMs = 500;                       // the greater name of the two dials so much later
+  double helloMs = 2000;           // from the connection's begin to the other's hello
+  double frameTimeoutMs = 5000;    // from a frame's first byte to its last
+  double stallMs = 5000;           // something waits, and nothing could be written
+  double silenceTimeoutMs = 5000;  // after a question nothing came
+  double duplicateLinkMs =
+      1000;  // a link so old gives way to a new one: its peer would not dial, had it this one
+  double minRedialDelayMs = 100, maxRedialDelayMs = 5000;  // between two dials; doubles, half of it jitter
+  double headStartMs = 500;                                // the greater name of the two dials so much later
   double tickMs = 100;
   double gapMs = 1000;  // between two ticks: the process stood still, and all spans begin anew
   std::size_t bytesPerTurn =
@@ -68,7 +69,7 @@
   // What does not go on for longer than it may; kClosed: all is well.
   LinkEnd overdue() const;
   // The process stood still: what did not come meanwhile counts for nothing.
-  void forgive();
+  void restartTimeouts();
   void close();
 
  private:
@@ -78,7 +79,7 @@
   bool deliver();
   void write();
   void refill();
-  void wanted() { loop_.setEvents(fd_.get(), writing() ? POLLIN | POLLOUT : POLLIN); }
+  void updatePollEvents() { loop_.setEvents(fd_.get(), writing() ? POLLIN | POLLOUT : POLLIN); }
   bool writing() const { return !out_.empty() || !lanes_[0].empty() || !lanes_[1].empty(); }
   void end(LinkEnd end);
 
@@ -95,7 +96,7 @@
   std::string out_;                // being written
   std::size_t written_ = 0, outBytes_[2] = {0, 0};
   // 0: nothing of the kind is waited for.
-  double frameSinceMs_ = 0, writeSinceMs_ = 0, askedMs_ = 0;
+  double frameSinceMs_ = 0, writeSinceMs_ = 0, pingSentMs_ = 0;
   double secondMs_ = 0;
   std::uint64_t framesInSecond_ = 0;
 };
--- a/src/fleet/links.cpp
+++ b/src/fleet/links.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr int kAcceptsPerTurn = 8;
-constexpr std::size_t kLeastShareBytes = 4096;
+constexpr std::size_t kMinReadShareBytes = 4096;
 
 Link::Lane laneOf(FleetKind kind) {
-  return kind == FleetKind::kQuestion || kind == FleetKind::kReply ? Link::Lane::kMembers
+  return kind == FleetKind::kPing || kind == FleetKind::kPingReply ? Link::Lane::kMembers
                                                                    : Link::Lane::kOthers;
 }
 
@@ -23,7 +23,7 @@
 
 Links::~Links() {
   parts_.loop.cancel(tickTimer_);
-  parts_.loop.cancel(overTimer_);
+  parts_.loop.cancel(closedLinksTimer_);
   if (listener_) parts_.loop.unwatch(listener_.get());
 }
 
@@ -46,7 +46,7 @@
     peer.address = wanted.address;
     if (moved && peer.dial) onEnd(*peer.dial, LinkEnd::kRemoved);
     if (moved && peer.link) onEnd(*peer.link, LinkEnd::kRemoved);
-    if (fresh || moved) peer.pauseMs = 0, dialLater(wanted.name, peer);
+    if (fresh || moved) peer.pauseMs = 0, scheduleDial(wanted.name, peer);
   }
   for (auto at = peers_.begin(); at != peers_.end();) {
     if (names.count(at->first)) {
@@ -55,7 +55,7 @@
     }
     if (at->second.dial) onEnd(*at->second.dial, LinkEnd::kRemoved);
     if (at->second.link) onEnd(*at->second.link, LinkEnd::kRemoved);
-    std::erase_if(told_, [&](const auto& said) { return said.first == at->first; });
+    std::erase_if(loggedRefusals_, [&](const auto& said) { return said.first == at->first; });
     at = peers_.erase(at);
   }
 }
@@ -65,7 +65,7 @@
   const auto at = peers_.find(name);
   const Link::Lane lane = laneOf(kind);
   if (at == peers_.end() || !at->second.link || kind == FleetKind::kHello ||
-      payload.size() > kMostFleetPayload)
+      payload.size() > kMaxFleetPayloadBytes)
     return false;
   Peer& peer = at->second;
   const std::size_t most = lane == Link::Lane::kMembers ? kMembersLaneBytes : options_.queueBytes;
@@ -88,7 +88,7 @@
 std::size_t Links::room(const std::string& name) const {
   if (!up(name)) return 0;
   const std::size_t taken = peers_.at(name).link->queued(Link::Lane::kOthers) + kFrameHeaderBytes;
-  return std::min(kMostFleetPayload, options_.queueBytes - std::min(options_.queueBytes, taken));
+  return std::min(kMaxFleetPayloadBytes, options_.queueBytes - std::min(options_.queueBytes, taken));
 }
 
 std::size_t Links::linksUp() const {
@@ -97,7 +97,7 @@
 }
 
 // ---- connections ----
-std::unique_ptr<Link> Links::linkOn(Fd fd, bool dialled) {
+std::unique_ptr<Link> Links::makeLink(Fd fd, bool dialled) {
   Link::Owner& owner = *this;
   return std::make_unique<Link>(parts_.loop, owner, options_.tuning, std::move(fd), dialled);
 }
@@ -112,25 +112,26 @@
         parts_.loop.setEvents(listener_.get(), 0);
       return;
     }
-    if (strangers_.size() >= kMostStrangers) onEnd(*strangers_.front(), LinkEnd::kCrowded);
-    strangers_.push_back(linkOn(std::move(fd), false));
+    if (pendingIntroductions_.size() >= kMaxPendingIntroductions)
+      onEnd(*pendingIntroductions_.front(), LinkEnd::kCrowded);
+    pendingIntroductions_.push_back(makeLink(std::move(fd), false));
   }
 }
 
 void Links::dial(const std::string& name, Peer& peer) {
   ++figures_.dials;
-  peer.dial = linkOn(connectTo(peer.address), true);
+  peer.dial = makeLink(connectTo(peer.address), true);
   if (peer.dial->phase() != Link::Phase::kClosed) return;
   peer.dial.reset();  // no descriptor
-  dialLater(name, peer);
+  scheduleDial(name, peer);
 }
 
-void Links::dialLater(const std::string& name, Peer& peer) {
+void Links::scheduleDial(const std::string& name, Peer& peer) {
   const LinkTuning& t = options_.tuning;
-  const double first = peer.pauseMs == 0 ? 0 : t.firstPauseMs;
-  peer.dialAtMs = parts_.loop.nowMs() + std::max(first, peer.pauseMs) * drawn() +
+  const double first = peer.pauseMs == 0 ? 0 : t.minRedialDelayMs;
+  peer.dialAtMs = parts_.loop.nowMs() + std::max(first, peer.pauseMs) * jitter() +
                   (options_.me.name < name ? 0 : t.headStartMs);
-  peer.pauseMs = std::clamp(2 * peer.pauseMs, t.firstPauseMs, t.mostPauseMs);
+  peer.pauseMs = std::clamp(2 * peer.pauseMs, t.minRedialDelayMs, t.maxRedialDelayMs);
 }
 
 void Links::tick() {
@@ -138,13 +139,13 @@
   const bool stood = now - std::exchange(lastTickMs_, now) > options_.tuning.gapMs;
   parts_.loop.setEvents(listener_.get(), POLLIN);
   std::vector<Link*> all;
-  for (const auto& link : strangers_) all.push_back(link.get());
+  for (const auto& link : pendingIntroductions_) all.push_back(link.get());
   for (auto& [name, peer] : peers_) {
     if (peer.link) all.push_back(peer.link.get());
     if (peer.dial) all.push_back(peer.dial.get());
   }
   for (Link* link : all) {
-    if (stood) link->forgive();
+    if (stood) link->restartTimeouts();
     const LinkEnd end = link->overdue();
     if (end != LinkEnd::kClosed) onEnd(*link, end);
   }
@@ -154,7 +155,7 @@
 }
 
 std::size_t Links::readShare() const {
-  return std::max(kLeastShareBytes, options_.tuning.bytesPerTurn / std::max<std::size_t>(1, linksUp()));
+  return std::max(kMinReadShareBytes, options_.tuning.bytesPerTurn / std::max<std::size_t>(1, linksUp()));
 }
 
 void Links::onConnected(Link& link) {
@@ -162,7 +163,7 @@
 }
 
 void Links::onFrame(Link& link, const Frame& frame) {
-  if (link.phase() != Link::Phase::kUp) return introduced(link, frame);
+  if (link.phase() != Link::Phase::kUp) return onIntroduction(link, frame);
   if (frame.kind == FleetKind::kHello) return onEnd(link, LinkEnd::kSecondHello);
   ++figures_.framesIn;
   figures_.bytesIn += frame.payload.size();
@@ -175,7 +176,7 @@
   if (at == peers_.end() || !at->second.refused) return;
   if (link.queued(Link::Lane::kOthers) > options_.queueBytes / 2) return;
   at->second.refused = false;
-  sink_.onPeerRoom(at->first);
+  sink_.onPeerWritable(at->first);
 }
 
 void Links::onEnd(Link& link, LinkEnd end) {
@@ -189,15 +190,15 @@
   });
 }
 
-std::unique_ptr<Link> Links::takeOut(Link& link) {
+std::unique_ptr<Link> Links::detach(Link& link) {
   const auto at = ownerOf(link);
   if (at != peers_.end())
     return std::move(at->second.link.get() == &link ? at->second.link : at->second.dial);
-  const auto stranger = std::find_if(strangers_.begin(), strangers_.end(),
+  const auto stranger = std::find_if(pendingIntroductions_.begin(), pendingIntroductions_.end(),
                                      [&](const auto& other) { return other.get() == &link; });
-  if (stranger == strangers_.end()) return nullptr;
+  if (stranger == pendingIntroductions_.end()) return nullptr;
   std::unique_ptr<Link> taken = std::move(*stranger);
-  strangers_.erase(stranger);
+  pendingIntroductions_.erase(stranger);
   return taken;
 }
 
@@ -206,34 +207,34 @@
   const bool wasUp = link.phase() == Link::Phase::kUp;
   const double upMs = parts_.loop.nowMs() - link.beganMs();
   const auto at = ownerOf(link);
-  std::unique_ptr<Link> taken = takeOut(link);
+  std::unique_ptr<Link> taken = detach(link);
   if (!taken) return;
   taken->close();
-  retire(std::move(taken));
+  destroyLater(std::move(taken));
   ++figures_.ends[static_cast<std::size_t>(end)];
-  if (isRefusal(end)) tell(name, end);
+  if (isRefusal(end)) logRefusal(name, end);
   if (at == peers_.end()) return;
   Peer& peer = at->second;
-  if (wasUp && upMs >= options_.tuning.mostPauseMs) peer.pauseMs = 0;
-  if (!peer.link && !peer.dial && end != LinkEnd::kReplaced) dialLater(at->first, peer);
+  if (wasUp && upMs >= options_.tuning.maxRedialDelayMs) peer.pauseMs = 0;
+  if (!peer.link && !peer.dial && end != LinkEnd::kReplaced) scheduleDial(at->first, peer);
   if (!wasUp) return;
   ++figures_.downs;
   peer.refused = false;
   sink_.onPeerDown(at->first);
 }
 
-void Links::retire(std::unique_ptr<Link> link) {
-  over_.push_back(std::move(link));
-  if (over_.size() > 1) return;
-  overTimer_ = parts_.loop.after(0, [this] {
-    overTimer_ = Loop::kNoTimer;
-    over_.clear();
+void Links::destroyLater(std::unique_ptr<Link> link) {
+  closedLinks_.push_back(std::move(link));
+  if (closedLinks_.size() > 1) return;
+  closedLinksTimer_ = parts_.loop.after(0, [this] {
+    closedLinksTimer_ = Loop::kNoTimer;
+    closedLinks_.clear();
   });
 }
 
-void Links::tell(const std::string& name, LinkEnd end) {
+void Links::logRefusal(const std::string& name, LinkEnd end) {
   ++figures_.refused;
-  if (!told_.emplace(name, end).second) return;
+  if (!loggedRefusals_.emplace(name, end).second) return;
   const std::string who = name.empty() ? "one that did not say who it is" : name;
   parts_.log.write(LogLevel::kWarning, "fleet.refused",
                    "fleet: closed a link to " + who + ": " + nameOf(end) + " (told once)",
--- a/src/fleet/links.h
+++ b/src/fleet/links.h
@@ -7,17 +7,17 @@
 //
 // Both ends dial, the one with the greater name somewhat later. Who dials says hello; who is dialled answers
 // it once it has accepted. Of two links between the same two starts the one dialled by the smaller name
-// stays, except that one that has been up for `duelMs` gives way: its peer would not dial, had it not lost
-// it. A link from a later start of the same life takes the place of an earlier one's, an earlier start than
-// the last seen is refused, and another life only comes in while no link stands.
+// stays, except that one that has been up for `duplicateLinkMs` gives way: its peer would not dial, had it
+// not lost it. A link from a later start of the same life takes the place of an earlier one's, an earlier
+// start than the last seen is refused, and another life only comes in while no link stands.
 //
 // What is refused (fleet/link_end.h) is closed and counted, and told once for each peer and reason; nothing
 // of it reaches the sink. It costs the other peers at most its share of a turn's reading. Bounds:
 // fleet/bounds.h.
 //
-// Silence: a link is closed when a question (FleetKind::kQuestion) was sent over it and nothing at all came
-// for `silentMs`. The links ask no question of their own: the members' are enough, and only what they cannot
-// reach matters. A machine that is gone is seen by TCP's keepalive too, within 8 s.
+// Silence: a link is closed when a question (FleetKind::kPing) was sent over it and nothing at all came
+// for `silenceTimeoutMs`. The links ask no question of their own: the members' are enough, and only what they
+// cannot reach matters. A machine that is gone is seen by TCP's keepalive too, within 8 s.
 #pragma once
 
 #include <array>
@@ -46,8 +46,8 @@
     PeerIntroduction me;
     Address listen;
     std::vector<FleetPlan::Peer> peers;
-    std::size_t queueBytes = kLeastQueueBytes;  // for each peer; from kLeastQueueBytes
-    std::uint64_t seed = 1;                     // of the jitter
+    std::size_t queueBytes = kMinQueueBytes;  // for each peer; from kMinQueueBytes
+    std::uint64_t seed = 1;                   // of the jitter
     LinkTuning tuning;
   };
   struct Figures {
@@ -81,7 +81,7 @@
     std::unique_ptr<Link> dial;  // on its way
     double dialAtMs = 0, pauseMs = 0;
     Incarnation last;      // the last one that was accepted
-    bool refused = false;  // a send; onPeerRoom is due
+    bool refused = false;  // a send; onPeerWritable is due
   };
   using Peers = std::map<std::string, Peer>;
 
@@ -91,34 +91,35 @@
   void onWritten(Link& link) override;
   std::size_t readShare() const override;
 
-  std::unique_ptr<Link> linkOn(Fd fd, bool dialled);
+  std::unique_ptr<Link> makeLink(Fd fd, bool dialled);
   void tick();
   void dial(const std::string& name, Peer& peer);
-  void dialLater(const std::string& name, Peer& peer);
+  void scheduleDial(const std::string& name, Peer& peer);
   void accept();
-  void introduced(Link& link, const Frame& frame);
+  void onIntroduction(Link& link, const Frame& frame);
   // Why this one may not come in; kClosed: it may.
-  LinkEnd judge(const Link& link, const PeerIntroduction& other) const;
+  LinkEnd checkIntroduction(const Link& link, const PeerIntroduction& other) const;
   // The same for one that is who it says, beside what there is already.
-  LinkEnd judgeBeside(const Link& link, const Peer& peer, const PeerIntroduction& other) const;
+  LinkEnd checkAgainstExisting(const Link& link, const Peer& peer, const PeerIntroduction& other) const;
   void comeUp(Link& link, const PeerIntroduction& other);
   // Whose it is, as far as known; end() where it has not introduced itself.
   Peers::iterator ownerOf(const Link& link);
-  std::unique_ptr<Link> takeOut(Link& link);
+  std::unique_ptr<Link> detach(Link& link);
   void finish(Link& link, LinkEnd end, const std::string& name);
-  void tell(const std::string& name, LinkEnd end);
-  void retire(std::unique_ptr<Link> link);
-  double drawn() { return std::uniform_real_distribution<double>(0.5, 1.5)(random_); }
+  void logRefusal(const std::string& name, LinkEnd end);
+  void destroyLater(std::unique_ptr<Link> link);
+  double jitter() { return std::uniform_real_distribution<double>(0.5, 1.5)(random_); }
 
   Parts parts_;
   Options options_;
   PeerSink& sink_;
   Fd listener_;
   Peers peers_;
-  std::vector<std::unique_ptr<Link>> strangers_;  // the oldest first
-  std::vector<std::unique_ptr<Link>> over_;       // until the turn is over: a handler of theirs may still run
-  std::set<std::pair<std::string, LinkEnd>> told_;
-  Loop::Timer tickTimer_ = Loop::kNoTimer, overTimer_ = Loop::kNoTimer;
+  std::vector<std::unique_ptr<Link>> pendingIntroductions_;  // the oldest first
+  std::vector<std::unique_ptr<Link>>
+      closedLinks_;  // until the turn is over: a handler of theirs may still run
+  std::set<std::pair<std::string, LinkEnd>> loggedRefusals_;
+  Loop::Timer tickTimer_ = Loop::kNoTimer, closedLinksTimer_ = Loop::kNoTimer;
   double lastTickMs_ = 0;
   std::mt19937_64 random_;
   Figures figures_;
--- a/src/fleet/links_hello.cpp
+++ b/src/fleet/links_hello.cpp
@@ -3,40 +3,41 @@
 
 namespace myrtleloft {
 
-void Links::introduced(Link& link, const Frame& frame) {
+void Links::onIntroduction(Link& link, const Frame& frame) {
   if (frame.kind != FleetKind::kHello) return onEnd(link, LinkEnd::kBeforeHello);
   PeerIntroduction other;
   if (!decodeIntroduction(frame.payload, other)) return onEnd(link, LinkEnd::kBadHello);
-  const LinkEnd end = judge(link, other);
+  const LinkEnd end = checkIntroduction(link, other);
   if (end == LinkEnd::kClosed) return comeUp(link, other);
   const bool known = peers_.count(other.name) != 0;
   finish(link, end, known ? other.name : "");
 }
 
-LinkEnd Links::judge(const Link& link, const PeerIntroduction& other) const {
+LinkEnd Links::checkIntroduction(const Link& link, const PeerIntroduction& other) const {
   if (other.fleet != options_.me.fleet) return LinkEnd::kOtherFleet;
   if (other.name == options_.me.name) return LinkEnd::kOwnName;
   const auto at = peers_.find(other.name);
   if (at == peers_.end()) return LinkEnd::kUnknownName;
   if (link.dialled() && at->second.dial.get() != &link) return LinkEnd::kOtherName;
-  return judgeBeside(link, at->second, other);
+  return checkAgainstExisting(link, at->second, other);
 }
 
-LinkEnd Links::judgeBeside(const Link& link, const Peer& peer, const PeerIntroduction& other) const {
+LinkEnd Links::checkAgainstExisting(const Link& link, const Peer& peer, const PeerIntroduction& other) const {
   const bool sameLife = peer.last.life == other.incarnation.life;
   if (sameLife && other.incarnation.start < peer.last.start) return LinkEnd::kOlder;
   const bool weAreSmaller = options_.me.name < other.name;
   if (!peer.link) {
     // Our own has just said hello over there, and is the one that stays; of the other way round the peer
     // takes care. One that waits for longer will hardly come up.
-    const Link* ours = peer.dial.get();
-    const bool comes = ours && ours != &link && ours->phase() == Link::Phase::kIntroducing &&
-                       parts_.loop.nowMs() - ours->beganMs() < options_.tuning.duelMs;
-    return comes && weAreSmaller ? LinkEnd::kReplaced : LinkEnd::kClosed;
+    const Link* ownDial = peer.dial.get();
+    const bool ownDialPending = ownDial && ownDial != &link &&
+                                ownDial->phase() == Link::Phase::kIntroducing &&
+                                parts_.loop.nowMs() - ownDial->beganMs() < options_.tuning.duplicateLinkMs;
+    return ownDialPending && weAreSmaller ? LinkEnd::kReplaced : LinkEnd::kClosed;
   }
   if (!sameLife) return LinkEnd::kNameTaken;
   const bool newer = other.incarnation.start > peer.last.start;
-  const bool old = parts_.loop.nowMs() - peer.link->beganMs() >= options_.tuning.duelMs;
+  const bool old = parts_.loop.nowMs() - peer.link->beganMs() >= options_.tuning.duplicateLinkMs;
   const bool dialledAlike = link.dialled() == peer.link->dialled();
   const bool dialledBySmaller = link.dialled() == weAreSmaller;
   return newer || old || dialledAlike || dialledBySmaller ? LinkEnd::kClosed : LinkEnd::kReplaced;
@@ -47,7 +48,7 @@
   if (peer.link) onEnd(*peer.link, LinkEnd::kReplaced);
   if (peer.dial && peer.dial.get() != &link) onEnd(*peer.dial, LinkEnd::kReplaced);
   if (!link.dialled()) onConnected(link);
-  peer.link = takeOut(link);
+  peer.link = detach(link);
   peer.last = other.incarnation;
   link.comeUp();
   ++figures_.ups;
--- a/src/fleet/member_messages.cpp
+++ b/src/fleet/member_messages.cpp
@@ -12,47 +12,47 @@
 }
 
 template <typename Archive>
-void serialize(Archive& ar, MemberNews& n) {
-  ar(n.name, n.incarnation, n.denial, n.standing, n.building);
+void serialize(Archive& ar, GossipUpdate& n) {
+  ar(n.name, n.incarnation, n.denial, n.state, n.building);
 }
 
 template <typename Archive>
-void serialize(Archive& ar, MemberQuestion& q) {
-  ar(q.number, q.about, q.behalf, q.news);
+void serialize(Archive& ar, Ping& q) {
+  ar(q.number, q.target, q.onBehalfOf, q.updates);
 }
 
 template <typename Archive>
-void save(Archive& ar, const MemberReply& r) {
-  ar(r.number, static_cast<std::uint8_t>(r.reached), r.heardMsAgo, r.news);
+void save(Archive& ar, const PingReply& r) {
+  ar(r.number, static_cast<std::uint8_t>(r.reached), r.heardMsAgo, r.updates);
 }
 
 template <typename Archive>
-void load(Archive& ar, MemberReply& r) {
+void load(Archive& ar, PingReply& r) {
   std::uint8_t reached = 0;
-  ar(r.number, reached, r.heardMsAgo, r.news);
+  ar(r.number, reached, r.heardMsAgo, r.updates);
   if (reached > 1) throw BufferTooShort();
   r.reached = reached == 1;
 }
 
 namespace {
 
-bool meant(const std::vector<MemberNews>& news) {
-  if (news.size() > kMostMemberNews) return false;
-  for (const MemberNews& n : news) {
-    if (n.name.empty() || n.name.size() > kMostMemberName || n.building.size() > kMostMemberName)
+bool meant(const std::vector<GossipUpdate>& updates) {
+  if (updates.size() > kMaxGossipUpdates) return false;
+  for (const GossipUpdate& n : updates) {
+    if (n.name.empty() || n.name.size() > kMaxMemberNameBytes || n.building.size() > kMaxMemberNameBytes)
       return false;
-    if (n.incarnation.life == 0 || n.incarnation.start == 0 || n.denial > kMostDenial) return false;
-    if (n.standing < Standing::kAlive || n.standing > Standing::kDead) return false;
+    if (n.incarnation.life == 0 || n.incarnation.start == 0 || n.denial > kMaxDenial) return false;
+    if (n.state < MemberState::kAlive || n.state > MemberState::kDead) return false;
   }
   return true;
 }
 
-bool meant(const MemberQuestion& q) {
-  return q.number != 0 && q.about.size() <= kMostMemberName && q.behalf.size() <= kMostMemberName &&
-         meant(q.news);
+bool meant(const Ping& q) {
+  return q.number != 0 && q.target.size() <= kMaxMemberNameBytes &&
+         q.onBehalfOf.size() <= kMaxMemberNameBytes && meant(q.updates);
 }
 
-bool meant(const MemberReply& r) { return r.number != 0 && meant(r.news); }
+bool meant(const PingReply& r) { return r.number != 0 && meant(r.updates); }
 
 template <typename Message>
 std::string encoded(const Message& message) {
@@ -79,9 +79,9 @@
 
 }  // namespace
 
-std::string encodeMembers(const MemberQuestion& question) { return encoded(question); }
-std::string encodeMembers(const MemberReply& reply) { return encoded(reply); }
-bool decodeMembers(std::string_view payload, MemberQuestion& out) { return decoded(payload, out); }
-bool decodeMembers(std::string_view payload, MemberReply& out) { return decoded(payload, out); }
+std::string encodeMembers(const Ping& ping) { return encoded(ping); }
+std::string encodeMembers(const PingReply& reply) { return encoded(reply); }
+bool decodeMembers(std::string_view payload, Ping& out) { return decoded(payload, out); }
+bool decodeMembers(std::string_view payload, PingReply& out) { return decoded(payload, out); }
 
 }  // namespace myrtleloft
--- a/src/fleet/member_probing.cpp
+++ b/src/fleet/member_probing.cpp
@@ -10,70 +10,72 @@
 }
 
 double MemberProbe::nextMs() const {
-  if (phase == Phase::kDirect) return directByMs;
-  return phase == Phase::kThirds ? endsAtMs : kNever;
+  if (phase == Phase::kDirect) return directDeadlineMs;
+  return phase == Phase::kIndirect ? deadlineMs : kNever;
 }
 
-void MemberProbe::excuse(double byMs) {
-  if (!running() || std::exchange(excused, true)) return;
-  directByMs += byMs;
-  endsAtMs += byMs;
+void MemberProbe::extend(double byMs) {
+  if (!running() || std::exchange(extended, true)) return;
+  directDeadlineMs += byMs;
+  deadlineMs += byMs;
 }
 
-std::optional<ThirdQuestion> ThirdQuestions::answered(const std::string& by, std::uint64_t ours) {
-  const auto at = std::find_if(waiting_.begin(), waiting_.end(),
-                               [&](const ThirdQuestion& q) { return q.ours == ours && q.about == by; });
-  if (at == waiting_.end()) return std::nullopt;
-  ThirdQuestion question = std::move(*at);
-  waiting_.erase(at);
-  return question;
+std::optional<IndirectPing> IndirectPings::answered(const std::string& by, std::uint64_t ownNumber) {
+  const auto at = std::find_if(pending_.begin(), pending_.end(), [&](const IndirectPing& q) {
+    return q.ownNumber == ownNumber && q.target == by;
+  });
+  if (at == pending_.end()) return std::nullopt;
+  IndirectPing ping = std::move(*at);
+  pending_.erase(at);
+  return ping;
 }
 
-std::optional<ThirdQuestion> ThirdQuestions::overdue(double nowMs) {
+std::optional<IndirectPing> IndirectPings::overdue(double nowMs) {
   const auto at =
-      std::find_if(waiting_.begin(), waiting_.end(), [&](const ThirdQuestion& q) { return q.byMs <= nowMs; });
-  if (at == waiting_.end()) return std::nullopt;
-  ThirdQuestion question = std::move(*at);
-  waiting_.erase(at);
-  return question;
+      std::find_if(pending_.begin(), pending_.end(), [&](const IndirectPing& q) { return q.byMs <= nowMs; });
+  if (at == pending_.end()) return std::nullopt;
+  IndirectPing ping = std::move(*at);
+  pending_.erase(at);
+  return ping;
 }
 
-double ThirdQuestions::nextMs() const {
+double IndirectPings::nextMs() const {
   double next = kNever;
-  for (const ThirdQuestion& q : waiting_) next = std::min(next, q.byMs);
+  for (const IndirectPing& q : pending_) next = std::min(next, q.byMs);
   return next;
 }
 
-void ThirdQuestions::excuse(double byMs) {
-  for (ThirdQuestion& q : waiting_) q.byMs += byMs;
+void IndirectPings::extend(double byMs) {
+  for (IndirectPing& q : pending_) q.byMs += byMs;
 }
 
-void MemberRound::first(const std::string& name) {
-  if (std::find(first_.begin(), first_.end(), name) == first_.end()) first_.push_back(name);
+void MemberRound::prioritize(const std::string& name) {
+  if (std::find(prioritized_.begin(), prioritized_.end(), name) == prioritized_.end())
+    prioritized_.push_back(name);
 }
 
 std::string MemberRound::next(const std::string& dueSuspect, const std::vector<std::string>& eligible) {
   const auto may = [&](const std::string& name) {
     return std::find(eligible.begin(), eligible.end(), name) != eligible.end();
   };
-  if (!std::exchange(wasFirst_, !wasFirst_)) {
+  if (!std::exchange(tookPrioritized_, !tookPrioritized_)) {
     if (!dueSuspect.empty()) return dueSuspect;
-    while (!first_.empty()) {
-      std::string name = std::move(first_.front());
-      first_.pop_front();
+    while (!prioritized_.empty()) {
+      std::string name = std::move(prioritized_.front());
+      prioritized_.pop_front();
       if (may(name)) return name;
     }
   }
-  wasFirst_ = false;
+  tookPrioritized_ = false;
   // One pass over what is left of this round, one over a new one.
   for (int round = 0; round < 2; ++round) {
-    while (!left_.empty()) {
-      std::string name = std::move(left_.back());
-      left_.pop_back();
+    while (!remaining_.empty()) {
+      std::string name = std::move(remaining_.back());
+      remaining_.pop_back();
       if (may(name)) return name;
     }
-    left_ = eligible;
-    shuffle(left_);
+    remaining_ = eligible;
+    shuffle(remaining_);
   }
   return {};
 }
--- a/src/fleet/member_table.cpp
+++ b/src/fleet/member_table.cpp
@@ -5,64 +5,69 @@
 
 namespace myrtleloft {
 
-const MemberLife* Member::find(std::uint64_t life) const {
-  for (const MemberLife& l : lives) {
+const MemberIncarnation* Member::find(std::uint64_t life) const {
+  for (const MemberIncarnation& l : incarnations) {
     if (l.incarnation.life == life) return &l;
   }
   return nullptr;
 }
 
-MemberLife* Member::find(std::uint64_t life) {
-  return const_cast<MemberLife*>(std::as_const(*this).find(life));
+MemberIncarnation* Member::find(std::uint64_t life) {
+  return const_cast<MemberIncarnation*>(std::as_const(*this).find(life));
 }
 
-const MemberLife* Member::present() const {
+const MemberIncarnation* Member::present() const {
   if (linked) {
-    if (const MemberLife* life = find(link.life)) return life;
+    if (const MemberIncarnation* life = find(link.life)) return life;
   }
-  const MemberLife* best = nullptr;
-  for (const MemberLife& l : lives) {
-    const auto rank = [](const MemberLife& life) { return std::pair(life.standing, ~life.incarnation.life); };
+  const MemberIncarnation* best = nullptr;
+  for (const MemberIncarnation& l : incarnations) {
+    const auto rank = [](const MemberIncarnation& life) {
+      return std::pair(life.state, ~life.incarnation.life);
+    };
     if (best == nullptr || rank(l) < rank(*best)) best = &l;
   }
   return best;
 }
 
-MemberLife* Member::present() { return const_cast<MemberLife*>(std::as_const(*this).present()); }
+MemberIncarnation* Member::present() {
+  return const_cast<MemberIncarnation*>(std::as_const(*this).present());
+}
 
-Standing Member::standing() const {
-  const MemberLife* life = present();
-  return life == nullptr ? Standing::kUnknown : life->standing;
+MemberState Member::state() const {
+  const MemberIncarnation* life = present();
+  return life == nullptr ? MemberState::kUnknown : life->state;
 }
 
-bool joinNews(std::vector<MemberLife>& lives, const MemberNews& news) {
-  const auto at = std::find_if(lives.begin(), lives.end(), [&](const MemberLife& l) {
-    return l.incarnation.life == news.incarnation.life;
+bool mergeUpdate(std::vector<MemberIncarnation>& incarnations, const GossipUpdate& update) {
+  const auto at = std::find_if(incarnations.begin(), incarnations.end(), [&](const MemberIncarnation& l) {
+    return l.incarnation.life == update.incarnation.life;
   });
-  if (at == lives.end()) {
-    if (lives.size() >= kMostLives) {
-      const auto dead = std::find_if(lives.begin(), lives.end(),
-                                     [](const MemberLife& l) { return l.standing == Standing::kDead; });
-      if (dead == lives.end()) return false;
-      lives.erase(dead);
+  if (at == incarnations.end()) {
+    if (incarnations.size() >= kMaxIncarnations) {
+      const auto dead =
+          std::find_if(incarnations.begin(), incarnations.end(),
+                       [](const MemberIncarnation& l) { return l.state == MemberState::kDead; });
+      if (dead == incarnations.end()) return false;
+      incarnations.erase(dead);
     }
-    lives.push_back({news.incarnation, news.denial, news.standing, news.building});
+    incarnations.push_back({update.incarnation, update.denial, update.state, update.building});
     return true;
   }
-  MemberLife& life = *at;
-  if (news.incarnation.start != life.incarnation.start) {
-    if (news.incarnation.start < life.incarnation.start) return false;
-    life = {news.incarnation, news.denial, news.standing, news.building};
+  MemberIncarnation& life = *at;
+  if (update.incarnation.start != life.incarnation.start) {
+    if (update.incarnation.start < life.incarnation.start) return false;
+    life = {update.incarnation, update.denial, update.state, update.building};
     return true;
   }
   bool changed = false;
-  if (news.building > life.building) {
-    life.building = news.building;
+  if (update.building > life.building) {
+    life.building = update.building;
     changed = true;
   }
-  if (std::pair(news.denial, news.standing) > std::pair(life.denial, life.standing)) {
-    life.denial = news.denial;
-    life.standing = news.standing;
+  if (std::pair(update.denial, update.state) > std::pair(life.denial, life.state)) {
+    life.denial = update.denial;
+    life.state = update.state;
     changed = true;
   }
   if (changed) life.sent = 0;
@@ -95,20 +100,20 @@
   return const_cast<Member*>(std::as_const(*this).find(name));
 }
 
-MemberNews MemberTable::newsOf(const std::string& name, const MemberLife& life) {
-  return {name, life.incarnation, life.denial, life.standing, life.building};
+GossipUpdate MemberTable::updateOf(const std::string& name, const MemberIncarnation& life) {
+  return {name, life.incarnation, life.denial, life.state, life.building};
 }
 
-void MemberTable::addNews(std::vector<MemberNews>& news, int fresh, int known, int times) {
-  const auto add = [&](const Member& m, MemberLife& life) {
-    MemberNews one = newsOf(m.name, life);
-    if (std::find(news.begin(), news.end(), one) != news.end()) return;
+void MemberTable::addUpdates(std::vector<GossipUpdate>& updates, int fresh, int known, int times) {
+  const auto add = [&](const Member& m, MemberIncarnation& life) {
+    GossipUpdate one = updateOf(m.name, life);
+    if (std::find(updates.begin(), updates.end(), one) != updates.end()) return;
     ++life.sent;
-    news.push_back(std::move(one));
+    updates.push_back(std::move(one));
   };
-  std::vector<std::pair<Member*, MemberLife*>> unspread;
+  std::vector<std::pair<Member*, MemberIncarnation*>> unspread;
   for (Member& m : members_) {
-    for (MemberLife& life : m.lives) {
+    for (MemberIncarnation& life : m.incarnations) {
       if (life.sent < times) unspread.emplace_back(&m, &life);
     }
   }
@@ -118,7 +123,7 @@
   for (auto it = unspread.begin(); it != end; ++it) add(*it->first, *it->second);
   for (std::size_t looked = 0; known > 0 && looked < members_.size(); ++looked) {
     Member& m = members_[turn_++ % members_.size()];
-    if (MemberLife* life = m.present()) {
+    if (MemberIncarnation* life = m.present()) {
       add(m, *life);
       --known;
     }
--- a/src/fleet/member_table.h
+++ b/src/fleet/member_table.h
@@ -4,7 +4,8 @@
 // which they come in. Lives have no order among themselves, for they are random; each is believed for itself.
 // Which of them is the present one: that of the link that is up; without a link, one that is not dead.
 //
-// `joinNews` is the whole merge: idempotent, commutative and associative, up to `kMostLives` lives of a name.
+// `mergeUpdate` is the whole merge: idempotent, commutative and associative, up to `kMaxIncarnations` lives
+// of a name.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +19,10 @@
 namespace myrtleloft {
 
 // One life of one peer.
-struct MemberLife {
+struct MemberIncarnation {
   Incarnation incarnation;
   std::uint64_t denial = 0;
-  Standing standing = Standing::kUnknown;
+  MemberState state = MemberState::kUnknown;
   std::string building;
   double suspectSinceMs = 0;  // where it is suspect: since when here
   int sent = 0;               // how often this was spread from here
@@ -32,7 +33,7 @@
 
 struct Member {
   std::string name;
-  std::vector<MemberLife> lives;
+  std::vector<MemberIncarnation> incarnations;
   bool linked = false;
   Incarnation link;                     // while linked
   std::vector<Incarnation> introduced;  // the newest start of each life that introduced itself here
@@ -41,24 +42,24 @@
   Hears hears = Hears::kNotKnown;
   std::string via;             // the third that reached it last time; empty: none had to, or it failed since
   std::uint64_t answered = 0;  // the highest number of ours that it replied to
-  double askedAtMs = -std::numeric_limits<double>::infinity();
+  double pingedAtMs = -std::numeric_limits<double>::infinity();
   // As last told to the caller.
-  Standing toldStanding = Standing::kUnknown;
-  Incarnation toldIncarnation;
+  MemberState reportedState = MemberState::kUnknown;
+  Incarnation reportedIncarnation;
 
-  const MemberLife* find(std::uint64_t life) const;
-  MemberLife* find(std::uint64_t life);
+  const MemberIncarnation* find(std::uint64_t life) const;
+  MemberIncarnation* find(std::uint64_t life);
   // nullptr: nothing is known of it.
-  const MemberLife* present() const;
-  MemberLife* present();
-  Standing standing() const;
+  const MemberIncarnation* present() const;
+  MemberIncarnation* present();
+  MemberState state() const;
 };
 
 // A folder is lost rarely; of a name with more lives than this, dead ones are forgotten first.
-inline constexpr std::size_t kMostLives = 4;
+inline constexpr std::size_t kMaxIncarnations = 4;
 
 // Whether it changed anything.
-bool joinNews(std::vector<MemberLife>& lives, const MemberNews& news);
+bool mergeUpdate(std::vector<MemberIncarnation>& incarnations, const GossipUpdate& update);
 
 class MemberTable {
  public:
@@ -72,8 +73,8 @@
 
   // News for one message: what was spread fewer than `times` times, fewest first, `fresh` at most; and
   // `known` of the rest in turn, so that what was lost is made up for in the end. Counted as spread.
-  void addNews(std::vector<MemberNews>& news, int fresh, int known, int times);
-  static MemberNews newsOf(const std::string& name, const MemberLife& life);
+  void addUpdates(std::vector<GossipUpdate>& updates, int fresh, int known, int times);
+  static GossipUpdate updateOf(const std::string& name, const MemberIncarnation& life);
 
  private:
   std::vector<Member> members_;  // by name
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -18,25 +18,25 @@
   return doublings;
 }
 
-double Members::spanMs() const { return tuning_.spanFactor * doublings() * tuning_.periodMs; }
+double Members::suspicionTimeoutMs() const { return tuning_.spanFactor * doublings() * tuning_.periodMs; }
 
-void Members::ill(int by) { health_ = std::clamp(health_ + by, 0, tuning_.mostHealth); }
+void Members::adjustHealth(int by) { health_ = std::clamp(health_ + by, 0, tuning_.maxHealth); }
 
-void Members::mustCatchUp() {
+void Members::startCatchingUp() {
   if (table_.size() == 0) return;
   catchingUp_ = true;
-  awakeFrom_ = numbers_ + 1;
+  firstFreshNumber_ = lastNumber_ + 1;
 }
 
-void Members::wake(double nowMs) {
-  ill(1);
+void Members::onStall(double nowMs) {
+  adjustHealth(1);
   probe_ = {};
-  forOthers_.clear();
+  indirectPings_.clear();
   for (Member& m : table_.all()) {
-    for (MemberLife& life : m.lives) life.suspectSinceMs = nowMs;
+    for (MemberIncarnation& life : m.incarnations) life.suspectSinceMs = nowMs;
   }
   periodAtMs_ = repliedAtMs_ = nowMs;
-  mustCatchUp();
+  startCatchingUp();
 }
 
 // What was due before this call, and was not called for, says how late we are ourselves.
@@ -48,43 +48,43 @@
   }
   const double lateMs = nowMs - dueMs_;
   if (lateMs > tuning_.stallMs) {
-    wake(nowMs);
+    onStall(nowMs);
   } else if (const double unreadMs = tuning_.replyMs / 4; lateMs > unreadMs) {
-    probe_.excuse(lateMs + unreadMs);
-    forOthers_.excuse(lateMs + unreadMs);
+    probe_.extend(lateMs + unreadMs);
+    indirectPings_.extend(lateMs + unreadMs);
   }
 }
 
 Members::Step Members::finish(double nowMs) {
   advance(nowMs);
   for (Member& m : table_.all()) {
-    const MemberLife* life = m.present();
+    const MemberIncarnation* life = m.present();
     if (life == nullptr) continue;
-    if (life->standing == m.toldStanding && life->incarnation == m.toldIncarnation) continue;
-    step_.changes.push_back({m.name, life->incarnation, m.toldStanding, life->standing});
-    m.toldStanding = life->standing;
-    m.toldIncarnation = life->incarnation;
+    if (life->state == m.reportedState && life->incarnation == m.reportedIncarnation) continue;
+    step_.changes.push_back({m.name, life->incarnation, m.reportedState, life->state});
+    m.reportedState = life->state;
+    m.reportedIncarnation = life->incarnation;
   }
-  dueMs_ = std::max(nowMs, std::min({periodAtMs_, probe_.nextMs(), forOthers_.nextMs()}));
+  dueMs_ = std::max(nowMs, std::min({periodAtMs_, probe_.nextMs(), indirectPings_.nextMs()}));
   step_.nextMs = dueMs_;
   return std::exchange(step_, {});
 }
 
 void Members::advance(double nowMs) {
-  while (const auto question = forOthers_.overdue(nowMs)) {
-    reply(question->from, question->theirs, false, kNeverHeard, question->about);
+  while (const auto ping = indirectPings_.overdue(nowMs)) {
+    sendReply(ping->from, ping->senderNumber, false, kNeverHeard, ping->target);
   }
   if (catchingUp_) {
     const auto awake = std::count_if(table_.all().begin(), table_.all().end(),
-                                     [&](const Member& m) { return m.answered >= awakeFrom_; });
+                                     [&](const Member& m) { return m.answered >= firstFreshNumber_; });
     if (static_cast<std::size_t>(awake) >= majority()) catchingUp_ = false;
-  } else if (nowMs - repliedAtMs_ > spanMs()) {
-    mustCatchUp();
+  } else if (nowMs - repliedAtMs_ > suspicionTimeoutMs()) {
+    startCatchingUp();
   }
-  if (probe_.phase == MemberProbe::Phase::kDirect && probe_.directByMs <= nowMs) askThirds(nowMs);
-  if (probe_.phase == MemberProbe::Phase::kThirds && probe_.endsAtMs <= nowMs) judge(nowMs);
+  if (probe_.phase == MemberProbe::Phase::kDirect && probe_.directDeadlineMs <= nowMs) pingIndirectly(nowMs);
+  if (probe_.phase == MemberProbe::Phase::kIndirect && probe_.deadlineMs <= nowMs) evaluateProbe(nowMs);
   if (periodAtMs_ <= nowMs && !probe_.running()) startPeriod(nowMs);
-  if (probe_.running()) periodAtMs_ = std::max(periodAtMs_, probe_.endsAtMs);
+  if (probe_.running()) periodAtMs_ = std::max(periodAtMs_, probe_.deadlineMs);
 }
 
 Members::Step Members::onTick(double nowMs) {
@@ -95,7 +95,7 @@
 Members::Step Members::setPeers(double nowMs, const std::vector<std::string>& peers) {
   begin(nowMs);
   table_.setPeers(peers);
-  if (probe_.running() && table_.find(probe_.about) == nullptr) probe_ = {};
+  if (probe_.running() && table_.find(probe_.target) == nullptr) probe_ = {};
   if (table_.size() == 0) catchingUp_ = false;
   return finish(nowMs);
 }
@@ -113,7 +113,7 @@
   if (refuses(peer)) return finish(nowMs);
   Member& m = *table_.find(peer.name);
   std::erase_if(m.introduced, [&](const Incarnation& i) { return i.life == peer.incarnation.life; });
-  if (m.introduced.size() >= kMostLives) m.introduced.erase(m.introduced.begin());
+  if (m.introduced.size() >= kMaxIncarnations) m.introduced.erase(m.introduced.begin());
   m.introduced.push_back(peer.incarnation);
   m.linked = true;
   m.link = peer.incarnation;
@@ -121,21 +121,22 @@
   m.heard = true;
   m.hears = Hears::kNotKnown;
   // Its other lives are over: their folder is lost, or another took the name.
-  for (MemberLife& life : m.lives) {
-    if (life.incarnation.life == m.link.life || life.standing == Standing::kDead) continue;
-    life.standing = Standing::kDead;
+  for (MemberIncarnation& life : m.incarnations) {
+    if (life.incarnation.life == m.link.life || life.state == MemberState::kDead) continue;
+    life.state = MemberState::kDead;
     life.sent = 0;
   }
   // A start beyond this one that was only hearsay, of the same life, is not true.
-  if (MemberLife* life = m.find(m.link.life); life != nullptr && life->incarnation.start > m.link.start) {
-    *life = {m.link, 0, Standing::kAlive, peer.building};
+  if (MemberIncarnation* life = m.find(m.link.life);
+      life != nullptr && life->incarnation.start > m.link.start) {
+    *life = {m.link, 0, MemberState::kAlive, peer.building};
   }
-  believe(nowMs, m, {peer.name, peer.incarnation, 0, Standing::kAlive, peer.building});
+  merge(nowMs, m, {peer.name, peer.incarnation, 0, MemberState::kAlive, peer.building});
   // At its next turn it hears what is held against it, and denies it.
-  if (m.standing() != Standing::kAlive) round_.first(peer.name);
-  if (catchingUp_ && asked_ < tuning_.catchUp) {
-    ++asked_;
-    ask(peer.name, "", "", ++numbers_);
+  if (m.state() != MemberState::kAlive) round_.prioritize(peer.name);
+  if (catchingUp_ && catchUpPings_ < tuning_.catchUp) {
+    ++catchUpPings_;
+    sendPing(peer.name, "", "", ++lastNumber_);
   }
   return finish(nowMs);
 }
@@ -146,7 +147,7 @@
     m->linked = m->heard = false;
     m->hears = Hears::kNotKnown;
     // No guess yet, but a reason to ask.
-    round_.first(peer);
+    round_.prioritize(peer);
   }
   return finish(nowMs);
 }
@@ -159,19 +160,19 @@
     view.linked = m.linked;
     view.heard = m.heard;
     view.hears = m.hears;
-    if (const MemberLife* life = m.present()) {
+    if (const MemberIncarnation* life = m.present()) {
       view.building = life->building;
       view.incarnation = life->incarnation;
       view.denial = life->denial;
-      view.standing = life->standing;
+      view.state = life->state;
     }
   }
   return views;
 }
 
-Standing Members::standing(const std::string& name) const {
+MemberState Members::state(const std::string& name) const {
   const Member* m = table_.find(name);
-  return m == nullptr ? Standing::kUnknown : m->standing();
+  return m == nullptr ? MemberState::kUnknown : m->state();
 }
 
 }  // namespace myrtleloft
--- a/src/fleet/members.h
+++ b/src/fleet/members.h
@@ -33,12 +33,12 @@
 struct MembersTuning {
   double periodMs = 200;     // one question of its own each
   double replyMs = 60;       // for a reply; through a third three times as long in all. At most periodMs / 3
-  int thirds = 3;            // asked where there was no reply
+  int helpers = 3;           // asked where there was no reply
   int spanFactor = 3;        // a suspicion lasts this many periods for each doubling of the fleet
   int spreadFactor = 3;      // news is spread this many times for each doubling
   int fresh = 6, known = 2;  // news of a message beside the sender's own and the addressee's
   double stallMs = 400;      // a call later than this after it was due: the own process stood still
-  int mostHealth = 4;        // own trouble stretches waits up to 1 + this many times
+  int maxHealth = 4;         // own trouble stretches waits up to 1 + this many times
   int catchUp = 8;           // further questions a period while catching up
 };
 
@@ -52,7 +52,7 @@
 struct MemberChange {
   std::string name;
   Incarnation incarnation;
-  Standing was, is;
+  MemberState was, is;
 };
 
 struct MemberView {
@@ -60,7 +60,7 @@
   std::string building;
   Incarnation incarnation;
   std::uint64_t denial = 0;
-  Standing standing = Standing::kUnknown;
+  MemberState state = MemberState::kUnknown;
   bool linked = false;
   // A one-way cut: `hears` is kYes and `heard` false, or the other way about. As of its last turn.
   bool heard = false;
@@ -85,23 +85,23 @@
   Step onLinkUp(double nowMs, const PeerIntroduction& peer);
   Step onLinkDown(double nowMs, const std::string& peer);
   // From a peer without a link, or not of the peers: nothing is taken.
-  Step onQuestion(double nowMs, const std::string& from, const MemberQuestion& question);
-  Step onReply(double nowMs, const std::string& from, const MemberReply& reply);
-  // kQuestion or kReply. false: the payload is of neither; nothing was taken, and `step` is as it was.
+  Step onPing(double nowMs, const std::string& from, const Ping& ping);
+  Step onReply(double nowMs, const std::string& from, const PingReply& reply);
+  // kPing or kPingReply. false: the payload is of neither; nothing was taken, and `step` is as it was.
   bool onMessage(double nowMs, const std::string& from, FleetKind kind, std::string_view payload, Step& step);
 
   std::vector<MemberView> all() const;
-  Standing standing(const std::string& name) const;
+  MemberState state(const std::string& name) const;
   // Whether the links should close what introduces itself so: unknown, or older than one before it.
   bool refuses(const PeerIntroduction& peer) const;
   // Catching up: since its start, since a stall, after a span without any reply, or after it was called dead,
   // it has not yet had replies from so many peers that they and itself are more than half of the fleet. What
   // it owes may have been taken over: it must ask before it acts.
-  bool mustAsk() const { return catchingUp_; }
+  bool isCatchingUp() const { return catchingUp_; }
   std::uint64_t ownDenial() const { return denial_; }
   int health() const { return health_; }  // 0: well
   // How long a suspicion lasts at least, in ms, the own process being well.
-  double spanMs() const;
+  double suspicionTimeoutMs() const;
 
  private:
   double stretch() const { return 1.0 + health_; }
@@ -110,26 +110,27 @@
   void begin(double nowMs);
   Step finish(double nowMs);
   void advance(double nowMs);
-  void wake(double nowMs);
-  void mustCatchUp();
-  void ill(int by);
+  void onStall(double nowMs);
+  void startCatchingUp();
+  void adjustHealth(int by);
 
   void startPeriod(double nowMs);
-  void askThirds(double nowMs);
-  void judge(double nowMs);
-  void askToCatchUp();
+  void pingIndirectly(double nowMs);
+  void evaluateProbe(double nowMs);
+  void pingToCatchUp();
   std::string dueSuspect(double nowMs) const;
-  std::vector<std::string> thirdsFor(const std::string& about, bool linkedOnly) const;
-
-  bool takeFrom(double nowMs, const std::string& from, const std::vector<MemberNews>& news);
-  void takeNews(double nowMs, const std::string& from, MemberNews news);
-  void takeOwnNews(const MemberNews& news);
-  void believe(double nowMs, Member& member, const MemberNews& news);
-  void learnHears(double nowMs, Member& about, std::uint32_t heardMsAgo);
-  std::vector<MemberNews> newsFor(const std::string& to, const std::string& about);
-  void ask(const std::string& to, const std::string& about, const std::string& behalf, std::uint64_t number);
-  void reply(const std::string& to, std::uint64_t number, bool reached, std::uint32_t heardMsAgo,
-             const std::string& about);
+  std::vector<std::string> helpersFor(const std::string& target, bool linkedOnly) const;
+
+  bool applyGossip(double nowMs, const std::string& from, const std::vector<GossipUpdate>& updates);
+  void applyUpdate(double nowMs, const std::string& from, GossipUpdate update);
+  void applyUpdateAboutSelf(const GossipUpdate& update);
+  void merge(double nowMs, Member& member, const GossipUpdate& update);
+  void updateHears(double nowMs, Member& target, std::uint32_t heardMsAgo);
+  std::vector<GossipUpdate> updatesFor(const std::string& to, const std::string& target);
+  void sendPing(const std::string& to, const std::string& target, const std::string& onBehalfOf,
+                std::uint64_t number);
+  void sendReply(const std::string& to, std::uint64_t number, bool reached, std::uint32_t heardMsAgo,
+                 const std::string& target);
   std::uint32_t heardMsAgo(double nowMs, const std::string& name) const;
 
   MembersTuning tuning_;
@@ -138,12 +139,13 @@
   MemberTable table_;
   MemberRound round_;
   MemberProbe probe_;
-  ThirdQuestions forOthers_;
-  std::uint64_t numbers_ = 0;    // the last one given out
-  std::uint64_t awakeFrom_ = 1;  // replies to questions from this number on are later than the own stall
+  IndirectPings indirectPings_;
+  std::uint64_t lastNumber_ = 0;  // the last one given out
+  std::uint64_t firstFreshNumber_ =
+      1;  // replies to questions from this number on are later than the own stall
   bool catchingUp_ = false, begun_ = false;
   int health_ = 0;
-  int asked_ = 0;  // this period, to catch up
+  int catchUpPings_ = 0;  // this period, to catch up
   double dueMs_ = 0, periodAtMs_ = 0, repliedAtMs_ = 0;
   Step step_;  // in the making
 };
--- a/src/fleet/message.h
+++ b/src/fleet/message.h
@@ -14,23 +14,23 @@
 // The whole protocol: one byte each in a frame. A new kind, or another meaning of an old one, is a new
 // `kFleetVersion`; links of different versions refuse each other.
 enum class FleetKind : std::uint8_t {
-  kHello = 1,     // links: who I am; the first frame in each direction, and never again
-  kQuestion = 2,  // members: are you, or is a third, there?
-  kReply = 3,     // members: what became of that question
-  kVoteAsk = 4,   // copies: one round at the register of a ledger
-  kVote = 5,      // copies: its answer
-  kCopy = 6,      // copies: records of a ledger to be held
-  kHeld = 7,      // copies: up to where they are held
-  kFence = 8,     // copies: hold no more for that epoch, and say what is held
-  kFenced = 9,    // copies: a part of what is held
-  kCounts = 10,   // popularity: counts of a building's relays
-  kHint = 11,     // popularity: what is learned of a destination, asked or told
-  kAudit = 12,    // audit: a node of the tree of decisions
+  kHello = 1,      // links: who I am; the first frame in each direction, and never again
+  kPing = 2,       // members: are you, or is a third, there?
+  kPingReply = 3,  // members: what became of that question
+  kVoteAsk = 4,    // copies: one round at the register of a ledger
+  kVote = 5,       // copies: its answer
+  kCopy = 6,       // copies: records of a ledger to be held
+  kHeld = 7,       // copies: up to where they are held
+  kFence = 8,      // copies: hold no more for that epoch, and say what is held
+  kFenced = 9,     // copies: a part of what is held
+  kCounts = 10,    // popularity: counts of a building's relays
+  kHint = 11,      // popularity: what is learned of a destination, asked or told
+  kAudit = 12,     // audit: a node of the tree of decisions
 };
 inline constexpr std::uint8_t kFleetVersion = 1;
 
 // A payload is no longer; packages that have more to say send it in parts.
-inline constexpr std::size_t kMostFleetPayload = 128 * 1024;
+inline constexpr std::size_t kMaxFleetPayloadBytes = 128 * 1024;
 
 // One start of one relay.
 struct Incarnation {
--- a/src/fleet/peer_links.h
+++ b/src/fleet/peer_links.h
@@ -37,7 +37,7 @@
   // taken nothing of it.
   virtual bool onPeerMessage(const std::string& peer, FleetKind kind, std::string_view payload) = 0;
   // A queue that had refused something has room for half of its bound again.
-  virtual void onPeerRoom(const std::string& peer) = 0;
+  virtual void onPeerWritable(const std::string& peer) = 0;
 };
 
 }  // namespace myrtleloft
--- a/src/fleet/plan.h
+++ b/src/fleet/plan.h
@@ -13,15 +13,16 @@
 namespace myrtleloft {
 
 // All of a fleet but oneself. Bounds of links are stated for 100 (fleet/links.h).
-inline constexpr std::size_t kMostPeers = 127;
+inline constexpr std::size_t kMaxPeers = 127;
 // Of a relay or a fleet, and of a building, in bytes: they stand in the first frame of a link.
-inline constexpr std::size_t kMostFleetName = 64, kMostBuilding = 256;
+inline constexpr std::size_t kMaxFleetNameBytes = 64, kMaxBuildingNameBytes = 256;
 
 inline bool isFleetName(std::string_view name) {
-  return !name.empty() && name.size() <= kMostFleetName && std::all_of(name.begin(), name.end(), [](char c) {
-    return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '.' ||
-           c == '-' || c == '_';
-  });
+  return !name.empty() && name.size() <= kMaxFleetNameBytes &&
+         std::all_of(name.begin(), name.end(), [](char c) {
+           return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '.' ||
+                  c == '-' || c == '_';
+         });
 }
 
 struct FleetPlan {
@@ -34,13 +35,13 @@
     }
   };
 
-  bool on = false;
+  bool enabled = false;
   std::string name;         // of the fleet: links to relays of another are refused
   Address listen;           // for the other relays only; port 0 asks for any
   std::vector<Peer> peers;  // by name; the one thing here that SIGHUP may change
   int copies = 0;           // further relays that hold what this one owes
   WhenShort whenShort = WhenShort::kRefuse;
-  int auditEveryS = 0;  // a round of the audit; 0: none, the section is missing
+  int auditIntervalS = 0;  // a round of the audit; 0: none, the section is missing
 };
 
 }  // namespace myrtleloft
--- a/src/relay/component_options.cpp
+++ b/src/relay/component_options.cpp
@@ -40,7 +40,8 @@
 
 std::size_t clientConnections(const Config& config) {
   const FleetPlan& fleet = config.operatorFile.fleet;
-  const int fleetDescriptors = fleet.on ? fleetNeeds(fleet.peers.size(), config.memoryBytes).descriptors : 0;
+  const int fleetDescriptors =
+      fleet.enabled ? fleetNeeds(fleet.peers.size(), config.memoryBytes).descriptors : 0;
   const int remaining = config.sockets - kReservedDescriptors - fleetDescriptors -
                         config.sockets / kSpareDescriptorDivisor - config.settings.maxConcurrentCalls;
   return static_cast<std::size_t>(std::max(remaining, kMinClientConnections));
@@ -122,7 +123,7 @@
   options.name = config.name;
   const int zone = config.settings.zone;
   if (zone >= 0 && static_cast<std::size_t>(zone) < config.names.zones.size())
-    options.building = config.names.zones[static_cast<std::size_t>(zone)].substr(0, kMostBuilding);
+    options.building = config.names.zones[static_cast<std::size_t>(zone)].substr(0, kMaxBuildingNameBytes);
   options.folder = config.stateFolder;
   options.memoryBytes = config.memoryBytes;
   options.seed = std::max<std::uint64_t>(1, randomSalt());
--- a/src/relay/relay_process.cpp
+++ b/src/relay/relay_process.cpp
@@ -153,7 +153,7 @@
              {{"pending", recovered.pending.size()}});
   requests_.recover(std::move(recovered), endpointDirectory_.begin(config_.known, config_.writtenWallMs));
   discovery_.start([this](EndpointListEvent event) { requests_.onList(std::move(event)); });
-  return config_.operatorFile.fleet.on ? startFleet() : std::nullopt;
+  return config_.operatorFile.fleet.enabled ? startFleet() : std::nullopt;
 }
 
 std::optional<StartupFailure> RelayProcess::startFleet() {
--- a/tests/audit_driver_test.cpp
+++ b/tests/audit_driver_test.cpp
@@ -28,7 +28,7 @@
     return other->onMessage(peer == "n1" ? "n2" : "n1", payload);
   }
   bool up(const std::string&) const override { return true; }
-  std::size_t room(const std::string&) const override { return kMostFleetPayload; }
+  std::size_t room(const std::string&) const override { return kMaxFleetPayloadBytes; }
   AuditDriver* other = nullptr;
   TrafficWindow last;
   int windows = 0, told = 0;
--- a/tests/copies_site.cpp
+++ b/tests/copies_site.cpp
@@ -91,10 +91,10 @@
   if (!up()) return;
   for (const std::string& other : setup_.others) {
     const Heard& h = heard_[other];
-    const Standing standing = h.atMs < 0                        ? Standing::kUnknown
-                              : realMs - h.atMs > kSilentMs     ? Standing::kDead
-                              : realMs - h.atMs > kSilentMs / 2 ? Standing::kSuspect
-                                                                : Standing::kAlive;
+    const MemberState standing = h.atMs < 0                        ? MemberState::kUnknown
+                                 : realMs - h.atMs > kSilentMs     ? MemberState::kDead
+                                 : realMs - h.atMs > kSilentMs / 2 ? MemberState::kSuspect
+                                                                   : MemberState::kAlive;
     copies_->onMember({other, standing, h.incarnation, other, 1});
   }
   CopyStep step;
--- a/tests/fleet_config_test.cpp
+++ b/tests/fleet_config_test.cpp
@@ -80,7 +80,7 @@
   Written files;
   files.operate("");
   CHECK_EQ(files.fault(), "");
-  CHECK_FALSE(readConfig(files.environment).operatorFile.fleet.on);
+  CHECK_FALSE(readConfig(files.environment).operatorFile.fleet.enabled);
   fs::remove(files.folder + "/o.toml");
   CHECK(has(files.fault(), "cannot read"));
   fs::create_directory(files.folder + "/o.toml");
@@ -89,14 +89,14 @@
 
 TEST_CASE("the section [fleet]: each key") {
   const FleetPlan off = parseOperatorFile("", "f").fleet;
-  CHECK((!off.on && off.peers.empty()));
+  CHECK((!off.enabled && off.peers.empty()));
   const FleetPlan plan =
       parseOperatorFile(kHead +
                             "peers = [\"n3=127.0.0.1:7103\", \"n2=127.0.0.1:7102\"]\ncopies = 0\n"
                             "when_short = \"alone\"\n[fleet.popularity]\n[fleet.audit]\n",
                         "f", "n1")
           .fleet;
-  CHECK((plan.on && plan.name == "vina" && plan.listen.text == "127.0.0.1:7101" && plan.copies == 0));
+  CHECK((plan.enabled && plan.name == "vina" && plan.listen.text == "127.0.0.1:7101" && plan.copies == 0));
   CHECK(plan.whenShort == FleetPlan::WhenShort::kAlone);
   REQUIRE(plan.peers.size() == 2);
   CHECK((plan.peers[0].name == "n2" && plan.peers[1].address.text == "127.0.0.1:7103"));
@@ -109,7 +109,7 @@
     if (line == "#[fleet]" || (!text.empty() && line.size() > 1 && line[0] == '#' && line[1] != ' '))
       text += line.substr(1) + "\n";
   const FleetPlan plan = parseOperatorFile(text, "example.toml", "n1").fleet;
-  CHECK((plan.on && plan.name == "north" && plan.peers.size() == 2));
+  CHECK((plan.enabled && plan.name == "north" && plan.peers.size() == 2));
 }
 
 TEST_CASE("the section [fleet]: what it cannot be, by line, column and key") {
--- a/tests/fleet_frame_test.cpp
+++ b/tests/fleet_frame_test.cpp
@@ -35,7 +35,7 @@
     std::string bytes;
     std::vector<std::string> payloads;
     for (int i = 0; i < 6; ++i) {
-      payloads.push_back(payloadOf(random, i == 5 ? kMostFleetPayload : random() % 3000));
+      payloads.push_back(payloadOf(random, i == 5 ? kMaxFleetPayloadBytes : random() % 3000));
       bytes += frameOf(static_cast<FleetKind>(2 + i), payloads.back());
     }
     FrameReader reader;
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("each spoilt bit of a frame is a fault, and never a frame") {
-  const std::string good = frameOf(FleetKind::kQuestion, "are you there");
+  const std::string good = frameOf(FleetKind::kPing, "are you there");
   CHECK(faultOf(good) == FrameFault::kNone);
   for (std::size_t bit = 0; bit < good.size() * 8; ++bit) {
     std::string bytes = good;
@@ -76,7 +76,7 @@
   CHECK(faultOf("MYR") == FrameFault::kNone);
   CHECK(faultOf("MYX") == FrameFault::kNoFrame);
   CHECK(faultOf(frameOf(FleetKind::kHello, "x", kFleetVersion + 1).substr(0, 5)) == FrameFault::kVersion);
-  CHECK(faultOf(frameOf(FleetKind::kHello, std::string(kMostFleetPayload + 1, 'x'))
+  CHECK(faultOf(frameOf(FleetKind::kHello, std::string(kMaxFleetPayloadBytes + 1, 'x'))
                     .substr(0, kFrameHeaderBytes)) == FrameFault::kOversized);
   CHECK(faultOf(frameOf(static_cast<FleetKind>(0), "x")) == FrameFault::kUnknownKind);
   CHECK(faultOf(frameOf(static_cast<FleetKind>(13), "x")) == FrameFault::kUnknownKind);
--- a/tests/fleet_incarnation_test.cpp
+++ b/tests/fleet_incarnation_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-KeptIncarnation start(Disk& disk, lab::CountedShare& share, std::uint64_t salt) {
+StoredIncarnation start(Disk& disk, lab::CountedShare& share, std::uint64_t salt) {
   FaultyFiles files(disk);
   return nextIncarnation({files, share}, "/s", salt);
 }
@@ -32,7 +32,7 @@
   CHECK((start(disk, share, 13).incarnation == Incarnation{11, 3}));
   CHECK_EQ(disk.files.size(), 1);
   disk.files.clear();
-  const KeptIncarnation anew = start(disk, share, 14);
+  const StoredIncarnation anew = start(disk, share, 14);
   CHECK((anew.incarnation == Incarnation{14, 1}));
   CHECK((anew.damage.empty() && anew.fault.empty()));
 }
@@ -49,7 +49,7 @@
       file[at] = static_cast<char>(file[at] ^ 4);
     else
       file += 'x';
-    const KeptIncarnation kept = start(disk, share, 22);
+    const StoredIncarnation kept = start(disk, share, 22);
     CHECK((kept.incarnation == Incarnation{22, 1}));
     CHECK_FALSE(kept.damage.empty());
     CHECK((start(disk, share, 23).incarnation == Incarnation{22, 2}));
@@ -63,7 +63,7 @@
       Disk disk;
       lab::CountedShare share;
       std::set<std::pair<std::uint64_t, std::uint64_t>> given;
-      const auto give = [&](const KeptIncarnation& kept) {
+      const auto give = [&](const StoredIncarnation& kept) {
         CHECK(given.emplace(kept.incarnation.life, kept.incarnation.start).second);
       };
       give(start(disk, share, 11));
@@ -71,7 +71,7 @@
         FaultyFiles files(disk);
         files.crashAt(n, 7);
         lab::CountedShare gone;
-        const KeptIncarnation kept = nextIncarnation({files, gone}, "/s", 12);
+        const StoredIncarnation kept = nextIncarnation({files, gone}, "/s", 12);
         if (kept.fault.empty()) give(kept);  // else the process ended before it was used
       }
       if (powerLost) disk.losePower();
@@ -89,13 +89,13 @@
   for (std::uint64_t n = 1; n <= 4; ++n) {
     FaultyFiles files(disk);
     files.failAt(n, 1, ENOSPC);
-    const KeptIncarnation kept = nextIncarnation({files, share}, "/s", 20 + n);
+    const StoredIncarnation kept = nextIncarnation({files, share}, "/s", 20 + n);
     if (kept.fault.empty()) continue;  // it was the removal of what is not there
     CHECK((kept.incarnation == Incarnation{20 + n, 1}));
     CHECK_EQ(share.used, before);
   }
   share.most = share.used;
-  const KeptIncarnation kept = start(disk, share, 31);
+  const StoredIncarnation kept = start(disk, share, 31);
   CHECK((kept.incarnation == Incarnation{31, 1}));
   CHECK_FALSE(kept.fault.empty());
 }
--- a/tests/fleet_links_test.cpp
+++ b/tests/fleet_links_test.cpp
@@ -51,17 +51,17 @@
     bytes += room;
     ++copies;
   }
-  CHECK(bytes + copies * kFrameHeaderBytes <= kLeastQueueBytes);
-  CHECK(bytes + copies * kFrameHeaderBytes > kLeastQueueBytes - kFrameHeaderBytes);
+  CHECK(bytes + copies * kFrameHeaderBytes <= kMinQueueBytes);
+  CHECK(bytes + copies * kFrameHeaderBytes > kMinQueueBytes - kFrameHeaderBytes);
   CHECK_FALSE(n1.links->send("n2", FleetKind::kCopy, ""));
-  std::size_t questions = 0;
-  while (n1.links->send("n2", FleetKind::kQuestion, std::string(1000, 'q'))) ++questions;
-  CHECK_EQ(questions, kMembersLaneBytes / (1000 + kFrameHeaderBytes));
+  std::size_t pings = 0;
+  while (n1.links->send("n2", FleetKind::kPing, std::string(1000, 'q'))) ++pings;
+  CHECK_EQ(pings, kMembersLaneBytes / (1000 + kFrameHeaderBytes));
   CHECK(n1.rooms.empty());
-  REQUIRE(site.until([&] { return n2.got["n1"].size() == questions + copies; }));
-  for (std::size_t i = 0; i < questions; ++i) CHECK(n2.got["n1"][i].first == FleetKind::kQuestion);
+  REQUIRE(site.until([&] { return n2.got["n1"].size() == pings + copies; }));
+  for (std::size_t i = 0; i < pings; ++i) CHECK(n2.got["n1"][i].first == FleetKind::kPing);
   CHECK(site.until([&] { return n1.rooms == std::vector<std::string>{"n2"}; }));
-  CHECK_EQ(n1.links->room("n2"), kMostFleetPayload);
+  CHECK_EQ(n1.links->room("n2"), kMaxFleetPayloadBytes);
 }
 
 TEST_CASE("both dial at once: one link is left, on both sides the same") {
@@ -135,7 +135,7 @@
 TEST_CASE("a link over which nothing comes after a question is over; without a question it stays") {
   FleetSite site;
   LinkTuning tuning = FleetSite::tuning();
-  tuning.silentMs = 150;
+  tuning.silenceTimeoutMs = 150;
   LinkedRelay n1(site.loop, "n1", tuning);
   std::string error;
   const Fd listener = listenOn(parseAddress("127.0.0.1:0").value(), error);
@@ -148,12 +148,12 @@
   REQUIRE(site.until([&] { return n1.links->up("n2"); }));
   const double at = site.clock.steadyMs();
   n1.links->send("n2", FleetKind::kCopy, "not a question");
-  site.until([&] { return site.clock.steadyMs() > at + 3 * tuning.silentMs; });
+  site.until([&] { return site.clock.steadyMs() > at + 3 * tuning.silenceTimeoutMs; });
   CHECK_EQ(n1.count("down n2"), 0);
-  n1.links->send("n2", FleetKind::kQuestion, "are you there");
-  n2.say(frameOf(FleetKind::kReply, "yes"));
+  n1.links->send("n2", FleetKind::kPing, "are you there");
+  n2.say(frameOf(FleetKind::kPingReply, "yes"));
   REQUIRE(site.until([&] { return n1.got["n2"].size() == 1; }));
   CHECK_EQ(n1.ends(LinkEnd::kSilent), 0);
-  n1.links->send("n2", FleetKind::kQuestion, "still");
+  n1.links->send("n2", FleetKind::kPing, "still");
   CHECK(site.until([&] { return n1.ends(LinkEnd::kSilent) == 1 && n2.closed; }));
 }
--- a/tests/fleet_members_faults_test.cpp
+++ b/tests/fleet_members_faults_test.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-MemberView viewOf(WatchedMembers& all, int by, int about) {
+MemberView viewOf(WatchedMembers& all, int by, int target) {
   for (MemberView& view : all.at(by)->all()) {
-    if (view.name == WatchedMembers::nameOf(about)) return view;
+    if (view.name == WatchedMembers::nameOf(target)) return view;
   }
   return {};
 }
@@ -39,14 +39,14 @@
   Liar(FleetPort& port, DrawnFleet& fleet) : port_(port), fleet_(fleet), nextMs_(port.nowMs()) {}
   void onTimer() override {
     nextMs_ = port_.nowMs() + 20;
-    MemberQuestion question{1 + below(1000), "", "", {}};
-    for (int i = 0; i < 8; ++i) question.news.push_back(lie());
-    const std::string payload =
-        below(2) == 0 ? encodeMembers(question)
-                      : encodeMembers(MemberReply{question.number, below(2) == 0, 0, question.news});
+    Ping ping{1 + below(1000), "", "", {}};
+    for (int i = 0; i < 8; ++i) ping.updates.push_back(lie());
+    const std::string payload = below(2) == 0
+                                    ? encodeMembers(ping)
+                                    : encodeMembers(PingReply{ping.number, below(2) == 0, 0, ping.updates});
     // A reply and a question differ in length alone, so either may be read as the other, or refused.
-    MemberQuestion q;
-    const auto kind = decodeMembers(payload, q) ? FleetKind::kQuestion : FleetKind::kReply;
+    Ping q;
+    const auto kind = decodeMembers(payload, q) ? FleetKind::kPing : FleetKind::kPingReply;
     const auto peers = port_.peers();
     port_.send(peers[below(peers.size())], kind, payload);
   }
@@ -54,13 +54,13 @@
   void onPeerUp(const PeerIntroduction& peer) override { known_.push_back(peer); }
   void onPeerDown(const std::string&) override {}
   bool onPeerMessage(const std::string&, FleetKind, std::string_view) override { return true; }
-  void onPeerRoom(const std::string&) override {}
+  void onPeerWritable(const std::string&) override {}
 
  private:
   std::uint64_t below(std::uint64_t n) { return fleet_.drawn() % n; }
-  MemberNews lie() {
+  GossipUpdate lie() {
     const PeerIntroduction& of = known_.empty() ? port_.self() : known_[below(known_.size())];
-    MemberNews n{of.name, of.incarnation, below(3), static_cast<Standing>(1 + below(3)), "nowhere"};
+    GossipUpdate n{of.name, of.incarnation, below(3), static_cast<MemberState>(1 + below(3)), "nowhere"};
     if (below(4) == 0) n.name = "nobody";
     if (below(4) == 0) n.incarnation.life = 1 + below(5);
     if (below(4) == 0) n.incarnation.start = 1 + below(5);
@@ -90,13 +90,13 @@
     bool asked = false;
     for (int i = 0; i < 50 && !asked; ++i) {
       all.fleet.runUntil(fromMs + forMs + 0.1 * i);
-      asked = all.at(1)->mustAsk();
+      asked = all.at(1)->isCatchingUp();
     }
     CHECK(asked);
     CHECK(all.wellWithin(3000));
     all.fleet.runUntil(all.fleet.nowMs() + 5000);
     for (const auto& death : all.falseDeaths) {
-      CHECK(death.about == "n1");
+      CHECK(death.target == "n1");
       CHECK(death.by != "n1");
     }
     deaths += static_cast<int>(all.falseDeaths.size());
@@ -114,9 +114,9 @@
     REQUIRE(all.wellWithin(5000));
     cutAll(all, 0, true, false);
     all.fleet.runUntil(all.fleet.nowMs() + 20000);
-    CHECK(all.at(0)->mustAsk());
-    CHECK(all.allSay(0, Standing::kDead));
-    for (const auto& suspicion : all.falseSuspicions) CHECK(suspicion.about == "n0");
+    CHECK(all.at(0)->isCatchingUp());
+    CHECK(all.allSay(0, MemberState::kDead));
+    for (const auto& suspicion : all.falseSuspicions) CHECK(suspicion.target == "n0");
     uncutAll(all);
     CHECK(all.wellWithin(5000));
   }
@@ -130,10 +130,10 @@
   REQUIRE(all.wellWithin(5000));
   cutAll(all, 0, false, true);
   all.fleet.runUntil(all.fleet.nowMs() + 20000);
-  CHECK(all.at(0)->mustAsk());
+  CHECK(all.at(0)->isCatchingUp());
   CHECK(all.at(0)->ownDenial() > 0);
-  CHECK(all.allSay(0, Standing::kDead));
-  for (int i = 1; i < 5; ++i) CHECK(all.at(0)->standing(WatchedMembers::nameOf(i)) == Standing::kAlive);
+  CHECK(all.allSay(0, MemberState::kDead));
+  for (int i = 1; i < 5; ++i) CHECK(all.at(0)->state(WatchedMembers::nameOf(i)) == MemberState::kAlive);
   uncutAll(all);
   CHECK(all.wellWithin(5000));
 }
@@ -169,13 +169,13 @@
     all.fleet.start(liar);
     all.fleet.runUntil(23000);
     all.fleet.crash(liar, Folder::kLost);
-    for (const auto& death : all.falseDeaths) CHECK(death.about == "liar");
+    for (const auto& death : all.falseDeaths) CHECK(death.target == "liar");
     all.fleet.runUntil(40000);
     for (int a = 0; a < 5; ++a) {
-      CHECK(!all.at(a)->mustAsk());
+      CHECK(!all.at(a)->isCatchingUp());
       for (int b = 0; b < 5; ++b) {
         if (a == b) continue;
-        CHECK(viewOf(all, a, b).standing == Standing::kAlive);
+        CHECK(viewOf(all, a, b).state == MemberState::kAlive);
         CHECK(viewOf(all, a, b).incarnation == all.fleet.self(b).incarnation);
       }
     }
@@ -197,7 +197,7 @@
       all.fleet.runUntil(all.fleet.nowMs() + 2000);
       for (const int by : {0, 1, 3, 4}) {
         CHECK(viewOf(all, by, 2).incarnation == all.fleet.self(2).incarnation);
-        CHECK(viewOf(all, by, 2).standing == Standing::kAlive);
+        CHECK(viewOf(all, by, 2).state == MemberState::kAlive);
         CHECK(viewOf(all, by, 2).building == "east");
       }
       all.fleet.uncut(0, 2);
@@ -220,10 +220,10 @@
   all.fleet.runUntil(150000);
   CHECK(all.falseSuspicions.empty());
   for (int i = 1; i < 12; ++i) {
-    CHECK(viewOf(all, 0, i).standing == Standing::kAlive);
-    CHECK(viewOf(all, i, 0).standing == Standing::kAlive);
+    CHECK(viewOf(all, 0, i).state == MemberState::kAlive);
+    CHECK(viewOf(all, i, 0).state == MemberState::kAlive);
   }
-  CHECK(all.at(0)->mustAsk());  // one link is not half of the fleet
+  CHECK(all.at(0)->isCatchingUp());  // one link is not half of the fleet
 }
 
 TEST_CASE("two halves that could not reach each other are one again") {
@@ -238,9 +238,9 @@
     }
   }
   all.fleet.runUntil(all.fleet.nowMs() + 60000);
-  CHECK(all.at(kRelays - 1)->standing("n0") == Standing::kDead);
-  CHECK(all.at(0)->standing("n" + std::to_string(kRelays - 1)) == Standing::kDead);
-  CHECK(all.at(0)->standing("n1") == Standing::kAlive);
+  CHECK(all.at(kRelays - 1)->state("n0") == MemberState::kDead);
+  CHECK(all.at(0)->state("n" + std::to_string(kRelays - 1)) == MemberState::kDead);
+  CHECK(all.at(0)->state("n1") == MemberState::kAlive);
   uncutAll(all);
   CHECK(all.wellWithin(1000));  // each asks first whom it had given up
 }
--- a/tests/fleet_members_laws_test.cpp
+++ b/tests/fleet_members_laws_test.cpp
@@ -24,9 +24,9 @@
 }
 
 // From a crash to where all know: its turn with somebody, the span, the last question, and the news of it.
-double boundMs(int relays, double spanMs) {
+double boundMs(int relays, double suspicionTimeoutMs) {
   const MembersTuning tuning;
-  return tuning.periodMs * (2.0 * relays + 6 * std::log2(relays + 1)) + 2 * spanMs;
+  return tuning.periodMs * (2.0 * relays + 6 * std::log2(relays + 1)) + 2 * suspicionTimeoutMs;
 }
 
 // Cuts and stalls that leave every two relays within reach of each other, for as long as `untilMs`.
@@ -69,10 +69,10 @@
     WatchedMembers all(relays, seed, drawnTraits(seed));
     all.startAll();
     CHECK(all.wellWithin(5000));
-    const double spanMs = all.at(0)->spanMs();
-    trouble(all, 35000, spanMs / 2);
+    const double suspicionTimeoutMs = all.at(0)->suspicionTimeoutMs();
+    trouble(all, 35000, suspicionTimeoutMs / 2);
     for (const auto& death : all.falseDeaths) {
-      FAIL_CHECK(death.by << " called " << death.about << " dead at " << death.atMs);
+      FAIL_CHECK(death.by << " called " << death.target << " dead at " << death.atMs);
     }
     suspicions += static_cast<int>(all.falseSuspicions.size());
 
@@ -82,9 +82,9 @@
     }
     const int lost = static_cast<int>(seed % static_cast<std::uint64_t>(relays));
     all.fleet.crash(lost, seed % 2 == 0 ? Folder::kKept : Folder::kLost, seed % 4 < 2);
-    CHECK(all.untilAllSay(lost, Standing::kDead, boundMs(relays, spanMs)));
+    CHECK(all.untilAllSay(lost, MemberState::kDead, boundMs(relays, suspicionTimeoutMs)));
     all.fleet.start(lost);
-    CHECK(all.untilAllSay(lost, Standing::kAlive, 2000));
+    CHECK(all.untilAllSay(lost, MemberState::kAlive, 2000));
     CHECK(all.wellWithin(5000));
     CHECK(all.falseDeaths.empty());
   }
--- a/tests/fleet_members_model_test.cpp
+++ b/tests/fleet_members_model_test.cpp
@@ -71,8 +71,9 @@
     next[at(by)] = step.nextMs;
     for (MemberSend& s : step.sends) under.push_back({by, s.to[0] - 'a', s.kind, std::move(s.payload)});
     for (const MemberChange& c : step.changes) {
-      const int about = c.name[0] - 'a';
-      if (c.is == Standing::kDead && about != crashed && wrong.empty()) wrong = name(by) + " of " + c.name;
+      const int target = c.name[0] - 'a';
+      if (c.is == MemberState::kDead && target != crashed && wrong.empty())
+        wrong = name(by) + " of " + c.name;
     }
   }
   void strike(const Fault& fault) {
@@ -121,7 +122,7 @@
   }
   bool crashFound() const {
     for (int i = 0; i < 3; ++i) {
-      if (i != crashed && relays[at(i)].standing(name(crashed)) != Standing::kDead) return false;
+      if (i != crashed && relays[at(i)].state(name(crashed)) != MemberState::kDead) return false;
     }
     return true;
   }
--- a/tests/fleet_refusals_test.cpp
+++ b/tests/fleet_refusals_test.cpp
@@ -69,7 +69,7 @@
   });
   town.refuses(LinkEnd::kBadHello, kNobody, [](RawPeer& raw) { raw.say(frameOf(FleetKind::kHello, "x")); });
   town.refuses(LinkEnd::kOversized, kNobody, [](RawPeer& raw) {
-    raw.say(frameOf(FleetKind::kHello, std::string(kMostHelloPayload + 1, 'x')));
+    raw.say(frameOf(FleetKind::kHello, std::string(kMaxHelloPayloadBytes + 1, 'x')));
   });
   town.refuses(LinkEnd::kTorn, kNobody,
                [](RawPeer& raw) { raw.say(frameOf(FleetKind::kHello, "x").substr(0, 20)); });
@@ -117,7 +117,7 @@
   spoilt.back() ^= 1;
   town.refuses(LinkEnd::kChecksum, "n3", then(spoilt));
   town.refuses(LinkEnd::kOversized, "n3",
-               then(frameOf(FleetKind::kCopy, std::string(kMostFleetPayload + 1, 'x'))));
+               then(frameOf(FleetKind::kCopy, std::string(kMaxFleetPayloadBytes + 1, 'x'))));
   town.refuses(LinkEnd::kUnknownKind, "n3", then(frameOf(static_cast<FleetKind>(13), "x")));
   town.refuses(LinkEnd::kTorn, "n3", then(frameOf(FleetKind::kCopy, "half of it").substr(0, 30)));
   town.refuses(LinkEnd::kSecondHello, "n3", then(frameOf(FleetKind::kHello, encodeIntroduction(kBadPeer))));
@@ -132,7 +132,7 @@
   tuning.bytesPerTurn = 8192;
   Town town(tuning);
   std::string flood;
-  for (int i = 0; i < 5000; ++i) flood += frameOf(FleetKind::kQuestion, "?");
+  for (int i = 0; i < 5000; ++i) flood += frameOf(FleetKind::kPing, "?");
   RawPeer raw(town.n1.links->listening());
   raw.hello(kBadPeer);
   raw.say(flood);
@@ -149,9 +149,9 @@
 TEST_CASE("connections that do not introduce themselves keep nobody out") {
   Town town;
   std::vector<std::unique_ptr<RawPeer>> silent;
-  for (std::size_t i = 0; i < 3 * kMostStrangers; ++i)
+  for (std::size_t i = 0; i < 3 * kMaxPendingIntroductions; ++i)
     silent.push_back(std::make_unique<RawPeer>(town.n1.links->listening()));
-  CHECK(town.until([&] { return town.n1.ends(LinkEnd::kCrowded) >= 2 * kMostStrangers; }));
+  CHECK(town.until([&] { return town.n1.ends(LinkEnd::kCrowded) >= 2 * kMaxPendingIntroductions; }));
   RawPeer n3(town.n1.links->listening());
   n3.hello(kBadPeer);
   town.raws = {&n3};
--- a/tests/fleet_site.h
+++ b/tests/fleet_site.h
@@ -25,7 +25,7 @@
     options.me = {"vina", name, "norte", incarnation};
     options.listen = parseAddress(listen).value();
     options.tuning = tuning;
-    options.queueBytes = kLeastQueueBytes;
+    options.queueBytes = kMinQueueBytes;
     links = std::make_unique<Links>(Links::Parts{loop, log}, std::move(options), *this);
     std::string error;
     opened = links->open(error);
@@ -39,7 +39,7 @@
     got[peer].emplace_back(kind, std::string(payload));
     return true;
   }
-  void onPeerRoom(const std::string& peer) override { rooms.push_back(peer); }
+  void onPeerWritable(const std::string& peer) override { rooms.push_back(peer); }
 
   const std::string& name() const { return name_; }
   std::size_t count(const std::string& what) const {
@@ -94,14 +94,14 @@
   static LinkTuning tuning() {
     LinkTuning t;
     t.helloMs = 300;
-    t.tornMs = 200;
+    t.frameTimeoutMs = 200;
     t.stallMs = 300;
-    t.firstPauseMs = 10;
-    t.mostPauseMs = 50;
+    t.minRedialDelayMs = 10;
+    t.maxRedialDelayMs = 50;
     t.headStartMs = 20;
     t.tickMs = 10;
-    t.duelMs = 100;
-    t.silentMs = 60e3;
+    t.duplicateLinkMs = 100;
+    t.silenceTimeoutMs = 60e3;
     t.gapMs = 60e3;
     return t;
   }
--- a/tests/fleet_spans_test.cpp
+++ b/tests/fleet_spans_test.cpp
@@ -35,7 +35,7 @@
 
 TEST_CASE("a young link dialled by the smaller name stays; an old one gives way to its peer's new one") {
   LinkTuning tuning = FleetSite::tuning();
-  tuning.duelMs = 30e3;
+  tuning.duplicateLinkMs = 30e3;
   Dialled site(tuning);
   RawPeer early(site.n1.links->listening());
   early.hello(kN2);
@@ -57,11 +57,11 @@
 
 TEST_CASE("who stood still does not close a link for what it could not hear") {
   LinkTuning tuning = FleetSite::tuning();
-  tuning.silentMs = 30e3;
-  tuning.tornMs = 30e3;
+  tuning.silenceTimeoutMs = 30e3;
+  tuning.frameTimeoutMs = 30e3;
   tuning.gapMs = 40e3;
   Dialled site(tuning);
-  site.n1.links->send("n2", FleetKind::kQuestion, "are you there");
+  site.n1.links->send("n2", FleetKind::kPing, "are you there");
   const std::string half = frameOf(FleetKind::kCopy, "two halves");
   site.n2->say(half.substr(0, 28));
   REQUIRE(site.until([&] { return site.n2->out.empty() && site.n2->in.size() > 2 * kFrameHeaderBytes; }));
@@ -72,7 +72,7 @@
   site.n2->say(half.substr(28));
   CHECK(site.until([&] { return site.n1.got["n2"].size() == 1; }));
   // No gap: what is due is due.
-  site.n1.links->send("n2", FleetKind::kQuestion, "and now");
+  site.n1.links->send("n2", FleetKind::kPing, "and now");
   site.clock.skippedMs += 35e3;
   CHECK(site.until([&] { return site.n1.ends(LinkEnd::kSilent) == 1; }));
 }
--- a/tests/integration/single_entry.h
+++ b/tests/integration/single_entry.h
@@ -16,9 +16,9 @@
   return {"f", name, "b", {life, start}};
 }
 
-inline MemberNews news(const std::string& name, Standing standing, std::uint64_t denial = 0,
-                       std::uint64_t life = 7, std::uint64_t start = 1) {
-  return {name, {life, start}, denial, standing, "b"};
+inline GossipUpdate update(const std::string& name, MemberState state, std::uint64_t denial = 0,
+                           std::uint64_t life = 7, std::uint64_t start = 1) {
+  return {name, {life, start}, denial, state, "b"};
 }
 
 // n1 among others, all of which are linked.
@@ -38,10 +38,10 @@
   void tick(const Answers& answers) {
     now = std::max(now, next);
     take(members.onTick(now));
-    const std::vector<MemberSend> questions = sends;
-    for (const MemberSend& s : questions) {
-      MemberQuestion q;
-      if (s.kind != FleetKind::kQuestion || !decodeMembers(s.payload, q)) continue;
+    const std::vector<MemberSend> pings = sends;
+    for (const MemberSend& s : pings) {
+      Ping q;
+      if (s.kind != FleetKind::kPing || !decodeMembers(s.payload, q)) continue;
       if (auto reply = answers(s.to, q)) take(members.onReply(now, s.to, {q.number, *reply, 0, {}}));
     }
   }
@@ -51,8 +51,8 @@
     }
     return {};
   }
-  void hear(const std::string& from, const MemberNews& n) {
-    take(members.onQuestion(now, from, {9, "", "", {n}}));
+  void hear(const std::string& from, const GossipUpdate& n) {
+    take(members.onPing(now, from, {9, "", "", {n}}));
   }
 
   double now = 1000, next = 0;
@@ -62,10 +62,10 @@
 };
 
 using Answer = std::optional<bool>;
-inline const auto kAllAnswer = [](const std::string&, const MemberQuestion&) { return Answer(true); };
+inline const auto kAllAnswer = [](const std::string&, const Ping&) { return Answer(true); };
 // n3 is silent, and the others say so.
-inline const auto kSilentThree = [](const std::string& to, const MemberQuestion& q) {
-  return to == "n3" ? Answer() : Answer(q.about != "n3");
+inline const auto kSilentThree = [](const std::string& to, const Ping& q) {
+  return to == "n3" ? Answer() : Answer(q.target != "n3");
 };
 
 inline void tickFor(One& one, double ms, auto answers) {
--- a/tests/journal/stored_files_test.cpp
+++ b/tests/journal/stored_files_test.cpp
@@ -84,7 +84,7 @@
   lab::CountedShare share;
   constexpr std::uint64_t kStoredNumber = 0x5ca1ab1e0ddba115, kNew = 12;
   for (const std::uint64_t start : {4, 5}) {
-    const KeptIncarnation next = nextIncarnation({files, share}, copy.path, kNew);
+    const StoredIncarnation next = nextIncarnation({files, share}, copy.path, kNew);
     CHECK((next.incarnation == Incarnation{kStoredNumber, start}));
     CHECK_EQ(next.damage, "");
     CHECK_EQ(next.fault, "");
