--- a/bench/fleet_processes.cpp
+++ b/bench/fleet_processes.cpp
@@ -49,7 +49,7 @@
     out << "]\n";
   }
   std::string address() const {
-    const std::string words = "are taken at ";
+    const std::string words = "accepting relays of fleet 'bench' at ";
     const std::size_t from = process->log().find(words) + words.size();
     return process->log().substr(from, process->log().find('\n', from) - from);
   }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -45,7 +45,7 @@
     audit_.emplace(AuditDriver::Parts{parts_.loop, *links_, parts_.log, parts_.rules}, plan.auditIntervalS,
                    incarnation_, options_.seed);
   parts_.log.write(LogLevel::kInfo, "fleet.listening",
-                   "fleet: the relays of '" + plan.name + "' are taken at " + listening(),
+                   "fleet: accepting relays of fleet '" + plan.name + "' at " + listening(),
                    {{"address", listening()}, {"fleet", plan.name}, {"peers", links_->peers()}});
   applyStep(members_->onTick(nowMs()));
   return true;
@@ -58,15 +58,15 @@
   if (!kept.damage.empty())
     parts_.log.write(LogLevel::kError, "fleet.incarnation-damaged",
                      std::string("fleet: the file ") + kIncarnationName + " cannot be used (" + kept.damage +
-                         "): this relay begins a new life",
+                         "): starting with a new relay identifier",
                      {{"fault", kept.damage}});
   if (!kept.fault.empty())
     parts_.log.write(LogLevel::kError, "fleet.incarnation-fault",
-                     std::string("fleet: cannot keep the file ") + kIncarnationName + ": " + kept.fault +
-                         "; this life ends with the process",
+                     std::string("fleet: cannot store the file ") + kIncarnationName + ": " + kept.fault +
+                         "; using a relay identifier for this process only",
                      {{"fault", kept.fault}});
   parts_.log.write(LogLevel::kInfo, "fleet.incarnation",
-                   "fleet: start " + std::to_string(start) + " of this life", {{"start", start}});
+                   "fleet: run " + std::to_string(start) + " with this state folder", {{"start", start}});
 }
 
 void Fleet::setPeers(const std::vector<FleetPlan::Peer>& peers) {
@@ -79,8 +79,7 @@
   if (audit_) audit_->setPeers(names);
   applyStep(members_->setPeers(nowMs(), namesOf(peers)));
   parts_.log.write(LogLevel::kInfo, "fleet.peers",
-                   "fleet: " + std::to_string(peers.size()) + " peers from now on",
-                   {{"peers", peers.size()}});
+                   "fleet: " + std::to_string(peers.size()) + " peers configured", {{"peers", peers.size()}});
 }
 
 bool Fleet::isCatchingUp() {
@@ -95,7 +94,7 @@
   ++stalls_;
   parts_.log.writeRateLimited(
       nowMs(), LogLevel::kWarning, "fleet.stalled",
-      "fleet: this process stood still for " + std::to_string(static_cast<int>(lateMs)) + " ms",
+      "fleet: this process did not run for " + std::to_string(static_cast<int>(lateMs)) + " ms",
       {{"ms", lateMs}});
   applyStep(members_->onTick(nowMs()));
 }
@@ -106,8 +105,8 @@
   if (members_->isCatchingUp() != reportedCatchingUp_) {
     reportedCatchingUp_ = !reportedCatchingUp_;
     parts_.log.write(LogLevel::kInfo, reportedCatchingUp_ ? "fleet.catching-up" : "fleet.caught-up",
-                     reportedCatchingUp_ ? "fleet: asking what was missed"
-                                         : "fleet: heard of more than half of the fleet");
+                     reportedCatchingUp_ ? "fleet: catching up with the other relays"
+                                         : "fleet: caught up, with replies from more than half of the fleet");
   }
   dueMs_ = step.nextMs;
   parts_.loop.cancel(timer_);
@@ -121,8 +120,8 @@
 void Fleet::logChange(const MemberChange& change) const {
   const auto start = change.incarnation.start;
   parts_.log.write(change.is == MemberState::kDead ? LogLevel::kWarning : LogLevel::kInfo, "fleet.standing",
-                   "fleet: " + change.name + " is " + nameOf(change.is) + ", start " + std::to_string(start) +
-                       " of its life (was " + nameOf(change.was) + ")",
+                   "fleet: " + change.name + " is " + nameOf(change.is) + ", run " + std::to_string(start) +
+                       " (was " + nameOf(change.was) + ")",
                    {{"peer", change.name},
                     {"standing", nameOf(change.is)},
                     {"was", nameOf(change.was)},
@@ -134,7 +133,7 @@
   checkForStall();
   const auto start = peer.incarnation.start;
   parts_.log.write(LogLevel::kInfo, "fleet.up",
-                   "fleet: linked to " + peer.name + ", start " + std::to_string(start) + " of its life",
+                   "fleet: link established to " + peer.name + " (run " + std::to_string(start) + ")",
                    {{"peer", peer.name}, {"start", start}, {"building", peer.building}});
   if (audit_) audit_->onPeerUp(peer);
   applyStep(members_->onLinkUp(nowMs(), peer));
@@ -150,9 +149,9 @@
 
 bool Fleet::onPeerMessage(const std::string& peer, FleetKind kind, std::string_view payload) {
   checkForStall();
-  // A fleet may have the audit at some relays only.
+  // The audit may be enabled at some relays of a fleet only.
   if (kind == FleetKind::kAudit) return !audit_ || audit_->onMessage(peer, payload);
-  // Nobody takes the other kinds yet.
+  // The other kinds have no receiver yet.
   if (kind != FleetKind::kPing && kind != FleetKind::kPingReply) return false;
   Members::Step step;
   if (!members_->onMessage(nowMs(), peer, kind, payload, step)) return false;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,16 +1,16 @@
-// A relay's part in its fleet: owns the links to the others and the members (who of them is there), and
-// drives both on the loop. Only where the operator's file has a section [fleet].
+// Membership of this relay in its fleet: owns the links to the other relays and the member list, and runs
+// both on the event loop. Created only if the operator's file has a section [fleet].
 //
 //   Fleet fleet({loop, files, journal, log}, options);
-//   if (!fleet.start(error)) ...         // once the state folder is held
+//   if (!fleet.start(error)) ...         // after the state folder is locked
 //   fleet.setPeers(peers);               // after SIGHUP
-//   fleet.print(out);                    // the line "counters fleet: ..."
+//   fleet.print(out);                    // writes the line "counters fleet: ..."
 //
-// A process that stood still (SIGSTOP, a stolen core) may have missed that it was called dead and that others
-// act for it. Whatever wakes it, the members are told before anything else is made of it; `isCatchingUp`
-// tells them too, for those whom the loop wakes earlier.
+// A process that did not run for a while (SIGSTOP, no CPU time) may have been declared dead meanwhile, so
+// that others act in its place. Each handler therefore reports the stall to the members before it does
+// anything else; `isCatchingUp` does so too, for callers that the loop runs earlier.
 //
-// One thread; handlers never wait, `start` waits for the disk once.
+// Single-threaded. Handlers never block; `start` waits for the disk once.
 #pragma once
 
 #include <map>
@@ -38,13 +38,13 @@
     Files& files;
     DiskBudget& disk;
     Log log;
-    AuditedRules rules;  // for the audit, where the section asks for one
+    AuditedRules rules;  // for the audit, if it is enabled
   };
   struct Options {
     FleetPlan plan;
     std::string name, building, folder;
-    std::size_t memoryBytes = 0;  // the relay's, of which the queues have a part
-    std::uint64_t seed = 1;       // random, not 0
+    std::size_t memoryBytes = 0;  // memory limit of the relay, of which the queues have a part
+    std::uint64_t seed = 1;       // random and not 0
     LinkTuning tuning;
     MembersTuning members;
   };
@@ -52,15 +52,16 @@
   Fleet(const Parts& parts, Options options) : parts_(parts), options_(std::move(options)) {}
   ~Fleet() override { parts_.loop.cancel(timer_); }
 
-  // false: `error` says why.
+  // Returns false and sets `error` on failure.
   bool start(std::string& error);
   std::string listening() const { return links_ ? links_->listening() : ""; }
   void setPeers(const std::vector<FleetPlan::Peer>& peers);
-  // Whether onBatch wants what the module is told, before it decides.
+  // Whether onBatch must be called with the events before the module decides.
   bool watchesBatches() const { return audit_.has_value(); }
   void onBatch(double nowMs, const std::vector<Event>& events) { audit_->onBatch(nowMs, events); }
   void print(std::ostream& out) const;
-  // Whether this relay must hear of more than half of its fleet before it acts on what it owes; see Members.
+  // Whether this relay must have replies from more than half of its fleet before it acts on pending work; see
+  // Members.
   bool isCatchingUp();
 
  private:
@@ -70,9 +71,9 @@
   void onPeerWritable(const std::string& peer) override;
 
   void storeIncarnation();
-  // First of all in each handler.
+  // Must be the first call of each handler.
   void checkForStall();
-  // Sends what the members say, tells what has changed, and comes back at their next moment.
+  // Sends the messages of the step, logs its changes and schedules the next call.
   void applyStep(Members::Step step);
   void logChange(const MemberChange& change) const;
   double nowMs() const { return parts_.loop.nowMs(); }
@@ -84,8 +85,8 @@
   std::optional<AuditDriver> audit_;
   std::optional<Members> members_;
   Loop::Timer timer_ = Loop::kNoTimer;
-  double dueMs_ = 0;                 // when the members are to be called again
-  bool reportedCatchingUp_ = false;  // as last told
+  double dueMs_ = 0;                 // time of the next call of the members
+  bool reportedCatchingUp_ = false;  // as last logged
   std::uint64_t stalls_ = 0;
 };
 
--- a/src/fleet/frame.cpp
+++ b/src/fleet/frame.cpp
@@ -20,7 +20,8 @@
 
 constexpr std::string_view kMagic = "MYRL";
 constexpr std::size_t kVersionAt = 4, kKindAt = 5, kLengthAt = 8, kHeadCheckAt = 12, kCheckAt = 16;
-constexpr std::size_t kRetainedCapacityBytes = 4096;  // of an empty buffer; more is given back
+constexpr std::size_t kRetainedCapacityBytes =
+    4096;  // capacity that an empty buffer keeps; a larger one is freed
 
 std::uint64_t hash(std::string_view bytes, std::uint64_t seed) {
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
@@ -72,7 +73,7 @@
 FrameReader::State FrameReader::next(Frame& frame) {
   if (fault_ != FrameFault::kNone) return State::kBad;
   const std::string_view left = std::string_view(buffer_).substr(offset_);
-  // What cannot become a frame is not waited for.
+  // Rejects bytes that cannot become a valid frame without waiting for the rest.
   const std::size_t seen = std::min(left.size(), kMagic.size());
   if (left.substr(0, seen) != kMagic.substr(0, seen)) return bad(FrameFault::kNoFrame);
   if (left.size() > kVersionAt && get<std::uint8_t>(left, kVersionAt) != kFleetVersion)
--- a/src/fleet/frame.h
+++ b/src/fleet/frame.h
@@ -1,4 +1,4 @@
-// How a message stands on a link: a fixed header, then the payload. No I/O.
+// Frame format of a link: a fixed header followed by the payload. No I/O.
 //
 //   std::string bytes = frameOf(FleetKind::kPing, payload);
 //   FrameReader reader;
@@ -9,12 +9,13 @@
 //         4      version, kFleetVersion
 //         5      kind
 //         6-7    zero
-//         8-11   length of the payload, kMaxFleetPayloadBytes at most
-//         12-15  check of bytes 0-11: a spoilt length is not waited for
-//         16-23  check of bytes 0-15 and the payload
+//         8-11   length of the payload, at most kMaxFleetPayloadBytes
+//         12-15  checksum of bytes 0-11, so that a corrupt length is detected before the payload is awaited
+//         16-23  checksum of bytes 0-15 and the payload
 //
-// Checks are XXH3 (xxHash); numbers in this machine's order, as everywhere in the fleet: a machine of the
-// other order is refused for its length's check. Payloads are cereal's, as the journal's records.
+// Checksums are XXH3 (xxHash). Numbers are in the machine's byte order, as everywhere in the fleet; a machine
+// of the other byte order is refused by the header checksum. Payloads are encoded with cereal, as journal
+// records.
 #pragma once
 
 #include <cstddef>
@@ -27,40 +28,41 @@
 
 inline constexpr std::size_t kFrameHeaderBytes = 24;
 
-// O(payload); the payload is no longer than kMaxFleetPayloadBytes.
+// O(payload). The payload must be at most kMaxFleetPayloadBytes long.
 std::string frameOf(FleetKind kind, std::string_view payload, std::uint8_t version = kFleetVersion);
 
 enum class FrameFault : std::uint8_t { kNone, kNoFrame, kVersion, kChecksum, kOversized, kUnknownKind };
 
 struct Frame {
   FleetKind kind = FleetKind::kHello;
-  std::string_view payload;  // into the reader's buffer, until that is next asked for
+  std::string_view payload;  // refers to the reader's buffer; valid until the next call of buffer()
 };
 
-// Takes frames out of bytes as they come in. After a fault it says nothing but that fault.
+// Extracts frames from a byte stream. After a fault every call of next() returns kBad.
 class FrameReader {
  public:
   enum class State { kMore, kFrame, kBad };
 
-  // Where to append what was read. It never has more than a whole frame and one read.
+  // Returns the buffer to which received bytes are appended. It holds at most one frame and one read.
   std::string& buffer();
   State next(Frame& frame);
   FrameFault fault() const { return fault_; }
-  // Payloads beyond it are refused; kMaxFleetPayloadBytes at first.
+  // Sets the largest accepted payload; initially kMaxFleetPayloadBytes.
   void allow(std::size_t bytes) { maxPayloadBytes_ = bytes; }
-  // Bytes of a frame that has begun and is not whole.
+  // Whether the buffer holds an incomplete frame.
   bool midFrame() const { return buffer_.size() > offset_; }
 
  private:
   State bad(FrameFault fault);
 
   std::string buffer_;
-  std::size_t offset_ = 0;  // where the next frame begins
+  std::size_t offset_ = 0;  // offset of the next frame
   std::size_t maxPayloadBytes_ = kMaxFleetPayloadBytes;
   FrameFault fault_ = FrameFault::kNone;
 };
 
-// A hello's payload, both ways. false: it is none, or has a name that no fleet can have.
+// Encodes and decodes the payload of a hello. Decoding returns false if the payload is not an introduction,
+// or has a name that is not valid in a fleet.
 std::string encodeIntroduction(const PeerIntroduction& peer);
 bool decodeIntroduction(std::string_view payload, PeerIntroduction& peer);
 
--- a/src/fleet/incarnation.cpp
+++ b/src/fleet/incarnation.cpp
@@ -29,13 +29,13 @@
   BufferInputArchive in(std::string_view(bytes).substr(kMagic.size()));
   std::uint32_t version = 0;
   in(version, incarnation.life, incarnation.start);
-  // What it would be written as: the check, the version and the length at once.
+  // Comparing with the encoded form verifies the checksum, the version and the length.
   return bytes == encode(incarnation) && incarnation.life != 0 && incarnation.start != 0;
 } catch (const std::exception&) {
   return false;
 }
 
-// What a file takes, 0 where there is none.
+// Returns the disk blocks of the file in bytes, or 0 if it does not exist.
 std::size_t blocksOf(Files& files, const std::string& folder, const char* name) {
   const auto seen = files.list(folder);
   if (!seen) return 0;
@@ -44,15 +44,15 @@
   return 0;
 }
 
-// An errno; 0: it is on the disk under its name.
+// Returns an errno, or 0 if the file is durable under its name.
 int keep(const IncarnationParts& parts, const std::string& folder, const Incarnation& incarnation) {
   const std::string path = folder + "/" + kIncarnationName, next = folder + "/" + kNextName;
-  // Left by a process that ended while it wrote.
+  // A process that ended while writing left this file.
   if (const std::size_t left = blocksOf(parts.files, folder, kNextName)) {
     if (const auto error = parts.files.remove(next)) return error->number;
     parts.disk.release(left);
   } else {
-    parts.files.remove(next);  // an empty one has no blocks; mostly there is none
+    parts.files.remove(next);  // an empty file has no blocks; usually there is no file
   }
   const std::size_t before = blocksOf(parts.files, folder, kIncarnationName);
   const std::string bytes = encode(incarnation);
@@ -85,12 +85,12 @@
     kept.incarnation = {before.life, before.start + 1};
   } else {
     kept.incarnation = {salt, 1};
-    if (unread != ENOENT) kept.damage = unread != 0 ? std::strerror(unread) : "not what a relay wrote";
+    if (unread != ENOENT) kept.damage = unread != 0 ? std::strerror(unread) : "invalid contents";
   }
   if (const int fault = keep(parts, folder, kept.incarnation)) {
     kept.fault = std::strerror(fault);
-    // Its number may be given again, so it must not be that life's. The next one, should the file have kept
-    // the old life, goes on there.
+    // The run number may be used again, so the incarnation must not keep the old identifier. If the old file
+    // remains, the next run continues from it.
     kept.incarnation = {salt, 1};
   }
   return kept;
--- a/src/fleet/incarnation.h
+++ b/src/fleet/incarnation.h
@@ -1,12 +1,13 @@
-// Which start of which life of a relay this is, kept in the state folder: the file `incarnation`.
+// Incarnation of this relay: the identifier and the run number that the file `incarnation` in the state
+// folder keeps.
 //
 //   const StoredIncarnation mine = nextIncarnation({files, journal}, folder, salt);
 //
-// Written anew beside the old file, synced and renamed, before it is used: no two starts with one folder have
-// the same one, loss of power included. A folder without the file, or with one that is damaged, begins a new
-// life with `salt` as its name. Where the disk refuses to keep it, a life is begun that only this process
-// has: to the others that is a relay that lost its folder, which is the safe side. The file has one block of
-// `disk_mb` from the journal's share, for a moment two.
+// The new file is written beside the old one, synced and renamed before the incarnation is used. No two runs
+// with one folder therefore have the same incarnation, even after a power loss. If the file is missing or
+// damaged, `salt` becomes the identifier of a new series of runs. If the disk cannot store the file, the
+// process uses an identifier of its own: to the others it is a relay that lost its folder, which is the safe
+// case. The file takes one block of `disk_mb` from the journal's share, and two while it is replaced.
 #pragma once
 
 #include <string>
@@ -21,8 +22,8 @@
 
 struct StoredIncarnation {
   Incarnation incarnation;
-  std::string damage;  // what was wrong with the file that was there; empty: nothing, or there was none
-  std::string fault;   // why this one could not be kept; empty: it is
+  std::string damage;  // why the existing file is not usable; empty if it is, or if there was none
+  std::string fault;   // why the new incarnation was not stored; empty if it was
 };
 
 struct IncarnationParts {
@@ -30,8 +31,8 @@
   DiskBudget& disk;
 };
 
-// Once for each start, with the folder's lock held and what is there counted. `salt`: random, not 0. It waits
-// for the disk.
+// Must be called once for each start, with the folder locked and its files counted. `salt` is random and not
+// 0. Blocks on the disk.
 StoredIncarnation nextIncarnation(const IncarnationParts& parts, const std::string& folder,
                                   std::uint64_t salt);
 
--- a/src/fleet/link.cpp
+++ b/src/fleet/link.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::size_t kWriteChunkBytes = 64 * 1024;
 constexpr int kKernelBytes = 256 * 1024, kUnsentBytes = 64 * 1024;
-// A machine that is gone sends nothing, not even that: it shows here after 5 + 3 x 1 s on a link at rest.
+// TCP keepalive detects a lost machine on an idle link after 5 + 3 x 1 s.
 constexpr int kIdleS = 5, kProbeS = 1, kProbes = 3;
 
-void set(const Fd& fd, int level, int name, int value) {
+void setOption(const Fd& fd, int level, int name, int value) {
   ::setsockopt(fd.get(), level, name, &value, sizeof value);
 }
 
@@ -60,13 +60,13 @@
       beganMs_(loop.nowMs()) {
   if (!fd_) return;
   reader_.allow(kMaxHelloPayloadBytes);
-  set(fd_, SOL_SOCKET, SO_SNDBUF, kKernelBytes);
-  set(fd_, SOL_SOCKET, SO_RCVBUF, kKernelBytes);
-  set(fd_, SOL_SOCKET, SO_KEEPALIVE, 1);
-  set(fd_, IPPROTO_TCP, TCP_KEEPIDLE, kIdleS);
-  set(fd_, IPPROTO_TCP, TCP_KEEPINTVL, kProbeS);
-  set(fd_, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
-  set(fd_, IPPROTO_TCP, TCP_NOTSENT_LOWAT, kUnsentBytes);
+  setOption(fd_, SOL_SOCKET, SO_SNDBUF, kKernelBytes);
+  setOption(fd_, SOL_SOCKET, SO_RCVBUF, kKernelBytes);
+  setOption(fd_, SOL_SOCKET, SO_KEEPALIVE, 1);
+  setOption(fd_, IPPROTO_TCP, TCP_KEEPIDLE, kIdleS);
+  setOption(fd_, IPPROTO_TCP, TCP_KEEPINTVL, kProbeS);
+  setOption(fd_, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+  setOption(fd_, IPPROTO_TCP, TCP_NOTSENT_LOWAT, kUnsentBytes);
   loop_.watch(fd_.get(), dialled ? POLLOUT : POLLIN, [this](short revents) { onEvents(revents); });
 }
 
@@ -102,7 +102,9 @@
 
 LinkEnd Link::overdue() const {
   const double now = loop_.nowMs();
-  const auto longer = [now](double sinceMs, double mostMs) { return sinceMs > 0 && now - sinceMs > mostMs; };
+  const auto longer = [now](double sinceMs, double limitMs) {
+    return sinceMs > 0 && now - sinceMs > limitMs;
+  };
   if (phase_ == Phase::kConnecting && longer(beganMs_, tuning_.helloMs)) return LinkEnd::kUnreachable;
   if (phase_ == Phase::kIntroducing && longer(beganMs_, tuning_.helloMs))
     return reader_.midFrame() ? LinkEnd::kTorn : LinkEnd::kNoHello;
@@ -182,7 +184,7 @@
   if (io == Io::kFailed) return end(LinkEnd::kClosed);
   if (written_ > before) writeSinceMs_ = loop_.nowMs();
   if (written_ < out_.size()) return;
-  std::string().swap(out_);  // idle links keep no room
+  std::string().swap(out_);  // frees the memory of idle links
   written_ = 0;
   for (int i = 0; i < 2; ++i) bytes_[i] -= std::exchange(outBytes_[i], 0);
   updatePollEvents();
--- a/src/fleet/link.h
+++ b/src/fleet/link.h
@@ -1,10 +1,10 @@
-// One TCP connection to another relay: frames in and out, both bounded, and watched for what does not go on.
-// It knows nothing of who the peer is; its owner (fleet/links.h) decides that, and when it is over.
+// One TCP connection to another relay: reads and writes frames, with bounded buffers and timeouts. It does
+// not know which peer it serves; its owner (fleet/links.h) decides that, and when the link is closed.
 //
-// Reading: at most `readShare` bytes in one turn of the loop, so that no peer holds up the others or the
-// clients; a frame goes to the owner as soon as it is whole, so nothing is queued but the one half read.
-// Writing: the members' lane first, then the others in turn. Into the kernel goes only what it can pass on
-// soon (TCP_NOTSENT_LOWAT), so that the members' lane does not wait behind megabytes.
+// Reading: at most `readShare` bytes in one turn of the event loop, so that no peer delays the others or the
+// clients. A complete frame is passed to the owner at once; only an incomplete frame is buffered.
+// Writing: the membership lane first, then the other lane. TCP_NOTSENT_LOWAT limits unsent data in the
+// kernel, so that membership messages do not wait behind megabytes of other data.
 #pragma once
 
 #include <cstdint>
@@ -18,22 +18,26 @@
 
 namespace myrtleloft {
 
-// Spans in ms. From the protocol: a peer that lives answers a hello in a round trip; each span leaves seconds
-// for a stalled one.
+// Timeouts in ms. A live peer answers a hello within one round trip; each timeout allows seconds more for a
+// stalled peer.
 struct LinkTuning {
-  double helloMs = 2000;           // from the connection's begin to the other's hello
-  double frameTimeoutMs = 5000;    // from a frame's first byte to its last
-  double stallMs = 5000;           // something waits, and nothing could be written
-  double silenceTimeoutMs = 5000;  // after a question nothing came
+  double helloMs = 2000;           // from the start of the connection to the peer's hello
+  double frameTimeoutMs = 5000;    // from the first byte of a frame to its last
+  double stallMs = 5000;           // data is pending, and nothing could be written
+  double silenceTimeoutMs = 5000;  // nothing was received after a ping
   double duplicateLinkMs =
-      1000;  // a link so old gives way to a new one: its peer would not dial, had it this one
-  double minRedialDelayMs = 100, maxRedialDelayMs = 5000;  // between two dials; doubles, half of it jitter
-  double headStartMs = 500;                                // the greater name of the two dials so much later
+      // A link up for this long yields to a new one from its peer, which would not dial if it still had the
+      // link.
+      1000;
+  double minRedialDelayMs = 100,
+         maxRedialDelayMs = 5000;  // delay between two dials; it doubles, with 50% jitter
+  double headStartMs = 500;        // extra delay of the relay with the greater name
   double tickMs = 100;
-  double gapMs = 1000;  // between two ticks: the process stood still, and all spans begin anew
+  double gapMs = 1000;  // a longer gap between two ticks restarts all timeouts, as the process did not run
   std::size_t bytesPerTurn =
-      256 * 1024;                    // read from all links in a turn; a link has its share, 4 KiB at least
-  std::uint64_t framesPerS = 20000;  // from one peer; more is a flood. Packages send in batches
+      256 * 1024;  // limit for reading from all links in a turn; each link may read at least 4 KiB
+  std::uint64_t framesPerS =
+      20000;  // limit for one peer, as packages send in batches; more frames are a flood
 };
 
 class Link {
@@ -45,15 +49,15 @@
    public:
     virtual ~Owner() = default;
     virtual void onConnected(Link& link) = 0;
-    // May close the link, but not destroy it before the loop's turn is over; so may the others.
+    // May close this or other links, but must not destroy one before the turn of the loop ends.
     virtual void onFrame(Link& link, const Frame& frame) = 0;
     virtual void onEnd(Link& link, LinkEnd end) = 0;
-    // Bytes in the lane of the others have become fewer.
+    // Called when queued bytes of the kOthers lane were written.
     virtual void onWritten(Link& link) = 0;
     virtual std::size_t readShare() const = 0;
   };
 
-  // One that the peer opened, and one that is opened here. `fd` may be empty: then phase() is kClosed.
+  // Takes an accepted connection or, if `dialled`, one being opened. With an empty `fd` phase() is kClosed.
   Link(Loop& loop, Owner& owner, const LinkTuning& tuning, Fd fd, bool dialled);
   ~Link() { close(); }
   Link(const Link&) = delete;
@@ -61,21 +65,21 @@
 
   Phase phase() const { return phase_; }
   bool dialled() const { return dialled_; }
-  double beganMs() const { return beganMs_; }  // or came up, once it is up
+  double beganMs() const { return beganMs_; }  // time of the connection attempt, or of comeUp() once it is up
   void comeUp();
-  // Queues a frame; the owner has looked at the bounds.
+  // Queues a frame. The owner must have checked the bounds.
   void queue(Lane lane, FleetKind kind, std::string_view payload);
   std::size_t queued(Lane lane) const { return bytes_[static_cast<int>(lane)]; }
-  // What does not go on for longer than it may; kClosed: all is well.
+  // Returns the timeout that has expired, or kClosed if none has.
   LinkEnd overdue() const;
-  // The process stood still: what did not come meanwhile counts for nothing.
+  // Restarts all timeouts after the process did not run, as data may wait unread.
   void restartTimeouts();
   void close();
 
  private:
   void onEvents(short revents);
   void read();
-  // Hands out whole frames; false: it is over.
+  // Passes complete frames to the owner. Returns false if the link was closed.
   bool deliver();
   void write();
   void refill();
@@ -92,10 +96,10 @@
   double beganMs_;
   FrameReader reader_;
   std::deque<std::string> lanes_[2];
-  std::size_t bytes_[2] = {0, 0};  // in the lane, and of it in `out_`
-  std::string out_;                // being written
+  std::size_t bytes_[2] = {0, 0};  // queued in each lane, including its part of `out_`
+  std::string out_;                // bytes being written
   std::size_t written_ = 0, outBytes_[2] = {0, 0};
-  // 0: nothing of the kind is waited for.
+  // Start times of the running timeouts; 0 while a timeout is not running.
   double frameSinceMs_ = 0, writeSinceMs_ = 0, pingSentMs_ = 0;
   double secondMs_ = 0;
   std::uint64_t framesInSecond_ = 0;
--- a/src/fleet/link_end.h
+++ b/src/fleet/link_end.h
@@ -1,4 +1,4 @@
-// Why a link is over.
+// Reasons for which a link is closed.
 #pragma once
 
 #include <cstdint>
@@ -6,37 +6,37 @@
 namespace myrtleloft {
 
 enum class LinkEnd : std::uint8_t {
-  kClosed,       // the peer closed it, or the network broke it
-  kUnreachable,  // it never came up
+  kClosed,       // the peer closed it, or the network failed
+  kUnreachable,  // the connection was not established
   kReplaced,     // another link to the same peer is kept instead
-  kRemoved,      // the operator's list has that peer, or that address of it, no more
-  kNoHello,      // it came up, and nothing introduced itself in time
-  kSilent,       // a question was sent, and then nothing at all came in time
-  // From here on it is refused: counted, and told once for each peer and reason.
-  kCrowded,  // more connections than may stand that have not introduced themselves; the oldest goes
-  kStalled,  // it takes nothing of what waits for it
-  kTorn,     // a frame began and did not end in time
+  kRemoved,      // the operator removed the peer or changed its address
+  kNoHello,      // connected, but no introduction arrived in time
+  kSilent,       // nothing was received within the timeout after a ping
+  // The reasons below are refusals: each is counted, and logged once for each peer and reason.
+  kCrowded,  // too many connections without an introduction; the oldest is closed
+  kStalled,  // the peer does not read its pending data
+  kTorn,     // a frame was not complete within the timeout
   kNoFrame,
   kVersion,
   kChecksum,
   kOversized,
   kUnknownKind,
   kFlood,
-  kBeforeHello,  // a message before its hello
+  kBeforeHello,  // a message arrived before the hello
   kSecondHello,
   kBadHello,
   kOtherFleet,
   kUnknownName,
   kOwnName,
-  kOtherName,   // not the one that the operator's list has at that address
-  kOlder,       // an earlier start of that relay than one that was here
-  kNameTaken,   // another life of that relay, while a link to the known one stands
-  kBadPayload,  // the package that the message is for cannot read it
+  kOtherName,   // the name differs from the one that the operator lists at that address
+  kOlder,       // an older run than the last one accepted from that relay
+  kNameTaken,   // a different `life` of that relay, while the link to the known one is up
+  kBadPayload,  // the package that receives the message cannot decode it
   kCount
 };
 
 constexpr bool isRefusal(LinkEnd end) { return end >= LinkEnd::kCrowded; }
-// As in the log; words with dashes.
+// Returns the name as it is logged, lower-case words with hyphens.
 const char* nameOf(LinkEnd end);
 
 }  // namespace myrtleloft
--- a/src/fleet/links.cpp
+++ b/src/fleet/links.cpp
@@ -42,11 +42,11 @@
     names.insert(wanted.name);
     Peer& peer = peers_[wanted.name];
     const bool moved = !peer.address.text.empty() && peer.address.text != wanted.address.text;
-    const bool fresh = peer.address.text.empty();
+    const bool added = peer.address.text.empty();
     peer.address = wanted.address;
     if (moved && peer.dial) onEnd(*peer.dial, LinkEnd::kRemoved);
     if (moved && peer.link) onEnd(*peer.link, LinkEnd::kRemoved);
-    if (fresh || moved) peer.pauseMs = 0, scheduleDial(wanted.name, peer);
+    if (added || moved) peer.redialDelayMs = 0, scheduleDial(wanted.name, peer);
   }
   for (auto at = peers_.begin(); at != peers_.end();) {
     if (names.count(at->first)) {
@@ -55,12 +55,12 @@
     }
     if (at->second.dial) onEnd(*at->second.dial, LinkEnd::kRemoved);
     if (at->second.link) onEnd(*at->second.link, LinkEnd::kRemoved);
-    std::erase_if(loggedRefusals_, [&](const auto& said) { return said.first == at->first; });
+    std::erase_if(loggedRefusals_, [&](const auto& refusal) { return refusal.first == at->first; });
     at = peers_.erase(at);
   }
 }
 
-// ---- what other packages see ----
+// ---- PeerLinks ----
 bool Links::send(const std::string& name, FleetKind kind, std::string payload) {
   const auto at = peers_.find(name);
   const Link::Lane lane = laneOf(kind);
@@ -68,8 +68,8 @@
       payload.size() > kMaxFleetPayloadBytes)
     return false;
   Peer& peer = at->second;
-  const std::size_t most = lane == Link::Lane::kMembers ? kMembersLaneBytes : options_.queueBytes;
-  if (peer.link->queued(lane) + kFrameHeaderBytes + payload.size() > most) {
+  const std::size_t limitBytes = lane == Link::Lane::kMembers ? kMembersLaneBytes : options_.queueBytes;
+  if (peer.link->queued(lane) + kFrameHeaderBytes + payload.size() > limitBytes) {
     ++figures_.refusedSends;
     peer.refused = peer.refused || lane == Link::Lane::kOthers;
     return false;
@@ -107,7 +107,7 @@
     int error = 0;
     Fd fd = acceptFrom(listener_, error);
     if (!fd) {
-      // Without a descriptor to be had, poll would come back at once: the next tick looks again.
+      // Without a free descriptor poll would return at once; the next tick tries again.
       if (error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM)
         parts_.loop.setEvents(listener_.get(), 0);
       return;
@@ -122,21 +122,21 @@
   ++figures_.dials;
   peer.dial = makeLink(connectTo(peer.address), true);
   if (peer.dial->phase() != Link::Phase::kClosed) return;
-  peer.dial.reset();  // no descriptor
+  peer.dial.reset();  // no free descriptor
   scheduleDial(name, peer);
 }
 
 void Links::scheduleDial(const std::string& name, Peer& peer) {
   const LinkTuning& t = options_.tuning;
-  const double first = peer.pauseMs == 0 ? 0 : t.minRedialDelayMs;
-  peer.dialAtMs = parts_.loop.nowMs() + std::max(first, peer.pauseMs) * jitter() +
+  const double first = peer.redialDelayMs == 0 ? 0 : t.minRedialDelayMs;
+  peer.dialAtMs = parts_.loop.nowMs() + std::max(first, peer.redialDelayMs) * jitter() +
                   (options_.me.name < name ? 0 : t.headStartMs);
-  peer.pauseMs = std::clamp(2 * peer.pauseMs, t.minRedialDelayMs, t.maxRedialDelayMs);
+  peer.redialDelayMs = std::clamp(2 * peer.redialDelayMs, t.minRedialDelayMs, t.maxRedialDelayMs);
 }
 
 void Links::tick() {
   const double now = parts_.loop.nowMs();
-  const bool stood = now - std::exchange(lastTickMs_, now) > options_.tuning.gapMs;
+  const bool stalled = now - std::exchange(lastTickMs_, now) > options_.tuning.gapMs;
   parts_.loop.setEvents(listener_.get(), POLLIN);
   std::vector<Link*> all;
   for (const auto& link : pendingIntroductions_) all.push_back(link.get());
@@ -145,7 +145,7 @@
     if (peer.dial) all.push_back(peer.dial.get());
   }
   for (Link* link : all) {
-    if (stood) link->restartTimeouts();
+    if (stalled) link->restartTimeouts();
     const LinkEnd end = link->overdue();
     if (end != LinkEnd::kClosed) onEnd(*link, end);
   }
@@ -202,7 +202,7 @@
   return taken;
 }
 
-// `name`: whom it is told of; a stranger's is what it said, if that is a peer's.
+// `name` is the peer that the log names. For an unidentified link it is the claimed name if that is a peer's.
 void Links::finish(Link& link, LinkEnd end, const std::string& name) {
   const bool wasUp = link.phase() == Link::Phase::kUp;
   const double upMs = parts_.loop.nowMs() - link.beganMs();
@@ -215,7 +215,7 @@
   if (isRefusal(end)) logRefusal(name, end);
   if (at == peers_.end()) return;
   Peer& peer = at->second;
-  if (wasUp && upMs >= options_.tuning.maxRedialDelayMs) peer.pauseMs = 0;
+  if (wasUp && upMs >= options_.tuning.maxRedialDelayMs) peer.redialDelayMs = 0;
   if (!peer.link && !peer.dial && end != LinkEnd::kReplaced) scheduleDial(at->first, peer);
   if (!wasUp) return;
   ++figures_.downs;
@@ -235,9 +235,9 @@
 void Links::logRefusal(const std::string& name, LinkEnd end) {
   ++figures_.refused;
   if (!loggedRefusals_.emplace(name, end).second) return;
-  const std::string who = name.empty() ? "one that did not say who it is" : name;
+  const std::string who = name.empty() ? "an unidentified peer" : name;
   parts_.log.write(LogLevel::kWarning, "fleet.refused",
-                   "fleet: closed a link to " + who + ": " + nameOf(end) + " (told once)",
+                   "fleet: closed a link to " + who + ": " + nameOf(end) + " (logged once)",
                    {{"peer", name}, {"reason", nameOf(end)}});
 }
 
--- a/src/fleet/links.h
+++ b/src/fleet/links.h
@@ -1,23 +1,24 @@
-// The links of one relay to the others of its fleet: one listener for relays only, one TCP link for each
+// Links of one relay to the others of its fleet: one listener for relays only, and one TCP link for each
 // pair.
 //
 //   Links links({loop, log}, {me, listen, peers, queueBytes, seed}, sink);
 //   if (!links.open(error)) ...
 //   links.send("n2", FleetKind::kCopy, payload);
 //
-// Both ends dial, the one with the greater name somewhat later. Who dials says hello; who is dialled answers
-// it once it has accepted. Of two links between the same two starts the one dialled by the smaller name
-// stays, except that one that has been up for `duplicateLinkMs` gives way: its peer would not dial, had it
-// not lost it. A link from a later start of the same life takes the place of an earlier one's, an earlier
-// start than the last seen is refused, and another life only comes in while no link stands.
+// Both ends dial; the one with the greater name starts somewhat later. The dialling side sends its hello
+// first, and the accepting side answers after it has accepted the hello. If two links connect the same two
+// incarnations, the one dialled by the smaller name is kept, except that a link older than `duplicateLinkMs`
+// is replaced: its peer would not dial if it still had that link. A link from a later run (`start`) of the
+// same `life` replaces an earlier one; an earlier run than the last one seen is refused. Another `life` is
+// accepted only while no link is up.
 //
-// What is refused (fleet/link_end.h) is closed and counted, and told once for each peer and reason; nothing
-// of it reaches the sink. It costs the other peers at most its share of a turn's reading. Bounds:
+// A refused connection (fleet/link_end.h) is closed and counted, and logged once for each peer and reason.
+// None of its messages reaches the sink, and it takes at most its share of the reads in a turn. Bounds:
 // fleet/bounds.h.
 //
-// Silence: a link is closed when a question (FleetKind::kPing) was sent over it and nothing at all came
-// for `silenceTimeoutMs`. The links ask no question of their own: the members' are enough, and only what they
-// cannot reach matters. A machine that is gone is seen by TCP's keepalive too, within 8 s.
+// A link is closed as silent if nothing was received within `silenceTimeoutMs` after a ping
+// (FleetKind::kPing) was sent over it. The links send no pings of their own, as those of the members suffice.
+// TCP keepalive also detects a lost machine, within 8 s.
 #pragma once
 
 #include <array>
@@ -46,24 +47,24 @@
     PeerIntroduction me;
     Address listen;
     std::vector<FleetPlan::Peer> peers;
-    std::size_t queueBytes = kMinQueueBytes;  // for each peer; from kMinQueueBytes
-    std::uint64_t seed = 1;                   // of the jitter
+    std::size_t queueBytes = kMinQueueBytes;  // for each peer; at least kMinQueueBytes
+    std::uint64_t seed = 1;                   // seed of the jitter
     LinkTuning tuning;
   };
   struct Figures {
     std::uint64_t dials = 0, ups = 0, downs = 0, refused = 0, refusedSends = 0;
-    std::uint64_t framesIn = 0, framesOut = 0, bytesIn = 0, bytesOut = 0;  // of payload
+    std::uint64_t framesIn = 0, framesOut = 0, bytesIn = 0, bytesOut = 0;  // bytes of payload
     std::array<std::uint64_t, static_cast<std::size_t>(LinkEnd::kCount)> ends{};
   };
 
-  // `sink` outlives it, and is told of nothing in the destructor.
+  // `sink` must outlive this object; the destructor does not call it.
   Links(const Parts& parts, Options options, PeerSink& sink);
   ~Links() override;
 
-  // Listens and begins to dial. false: `error` says why.
+  // Listens and starts to dial. Returns false and sets `error` on failure.
   bool open(std::string& error);
   std::string listening() const { return listener_ ? localAddress(listener_) : ""; }
-  // The operator's new list: links to those that are gone, or at another address, are closed.
+  // Applies the new list of the operator: closes links to peers that were removed or have a new address.
   void setPeers(const std::vector<FleetPlan::Peer>& peers);
 
   bool send(const std::string& peer, FleetKind kind, std::string payload) override;
@@ -77,11 +78,11 @@
  private:
   struct Peer {
     Address address;
-    std::unique_ptr<Link> link;  // up
-    std::unique_ptr<Link> dial;  // on its way
-    double dialAtMs = 0, pauseMs = 0;
-    Incarnation last;      // the last one that was accepted
-    bool refused = false;  // a send; onPeerWritable is due
+    std::unique_ptr<Link> link;  // established link
+    std::unique_ptr<Link> dial;  // connection being opened
+    double dialAtMs = 0, redialDelayMs = 0;
+    Incarnation last;      // last accepted incarnation
+    bool refused = false;  // a send was refused; onPeerWritable is pending
   };
   using Peers = std::map<std::string, Peer>;
 
@@ -97,12 +98,12 @@
   void scheduleDial(const std::string& name, Peer& peer);
   void accept();
   void onIntroduction(Link& link, const Frame& frame);
-  // Why this one may not come in; kClosed: it may.
+  // Returns the reason to refuse this peer, or kClosed if it is accepted.
   LinkEnd checkIntroduction(const Link& link, const PeerIntroduction& other) const;
-  // The same for one that is who it says, beside what there is already.
+  // Checks an identified peer against the links that it already has; the result is as above.
   LinkEnd checkAgainstExisting(const Link& link, const Peer& peer, const PeerIntroduction& other) const;
   void comeUp(Link& link, const PeerIntroduction& other);
-  // Whose it is, as far as known; end() where it has not introduced itself.
+  // Returns the peer of the link, or end() if it has not introduced itself.
   Peers::iterator ownerOf(const Link& link);
   std::unique_ptr<Link> detach(Link& link);
   void finish(Link& link, LinkEnd end, const std::string& name);
@@ -115,9 +116,9 @@
   PeerSink& sink_;
   Fd listener_;
   Peers peers_;
-  std::vector<std::unique_ptr<Link>> pendingIntroductions_;  // the oldest first
+  std::vector<std::unique_ptr<Link>> pendingIntroductions_;  // oldest first
   std::vector<std::unique_ptr<Link>>
-      closedLinks_;  // until the turn is over: a handler of theirs may still run
+      closedLinks_;  // closed in this turn of the loop; their handlers may still be running
   std::set<std::pair<std::string, LinkEnd>> loggedRefusals_;
   Loop::Timer tickTimer_ = Loop::kNoTimer, closedLinksTimer_ = Loop::kNoTimer;
   double lastTickMs_ = 0;
--- a/src/fleet/links_hello.cpp
+++ b/src/fleet/links_hello.cpp
@@ -1,4 +1,4 @@
-// Who may come in: the part of Links that judges introductions.
+// The part of Links that checks introductions.
 #include "fleet/links.h"
 
 namespace myrtleloft {
@@ -25,21 +25,21 @@
 LinkEnd Links::checkAgainstExisting(const Link& link, const Peer& peer, const PeerIntroduction& other) const {
   const bool sameLife = peer.last.life == other.incarnation.life;
   if (sameLife && other.incarnation.start < peer.last.start) return LinkEnd::kOlder;
-  const bool weAreSmaller = options_.me.name < other.name;
+  const bool ownNameSmaller = options_.me.name < other.name;
   if (!peer.link) {
-    // Our own has just said hello over there, and is the one that stays; of the other way round the peer
-    // takes care. One that waits for longer will hardly come up.
+    // Our own connection has sent its hello and is the one to keep; the peer handles the opposite case. A
+    // connection that has waited longer is unlikely to be accepted.
     const Link* ownDial = peer.dial.get();
     const bool ownDialPending = ownDial && ownDial != &link &&
                                 ownDial->phase() == Link::Phase::kIntroducing &&
                                 parts_.loop.nowMs() - ownDial->beganMs() < options_.tuning.duplicateLinkMs;
-    return ownDialPending && weAreSmaller ? LinkEnd::kReplaced : LinkEnd::kClosed;
+    return ownDialPending && ownNameSmaller ? LinkEnd::kReplaced : LinkEnd::kClosed;
   }
   if (!sameLife) return LinkEnd::kNameTaken;
   const bool newer = other.incarnation.start > peer.last.start;
   const bool old = parts_.loop.nowMs() - peer.link->beganMs() >= options_.tuning.duplicateLinkMs;
   const bool dialledAlike = link.dialled() == peer.link->dialled();
-  const bool dialledBySmaller = link.dialled() == weAreSmaller;
+  const bool dialledBySmaller = link.dialled() == ownNameSmaller;
   return newer || old || dialledAlike || dialledBySmaller ? LinkEnd::kClosed : LinkEnd::kReplaced;
 }
 
--- a/src/fleet/member_messages.cpp
+++ b/src/fleet/member_messages.cpp
@@ -36,7 +36,7 @@
 
 namespace {
 
-bool meant(const std::vector<GossipUpdate>& updates) {
+bool isValid(const std::vector<GossipUpdate>& updates) {
   if (updates.size() > kMaxGossipUpdates) return false;
   for (const GossipUpdate& n : updates) {
     if (n.name.empty() || n.name.size() > kMaxMemberNameBytes || n.building.size() > kMaxMemberNameBytes)
@@ -47,12 +47,12 @@
   return true;
 }
 
-bool meant(const Ping& q) {
+bool isValid(const Ping& q) {
   return q.number != 0 && q.target.size() <= kMaxMemberNameBytes &&
-         q.onBehalfOf.size() <= kMaxMemberNameBytes && meant(q.updates);
+         q.onBehalfOf.size() <= kMaxMemberNameBytes && isValid(q.updates);
 }
 
-bool meant(const PingReply& r) { return r.number != 0 && meant(r.updates); }
+bool isValid(const PingReply& r) { return r.number != 0 && isValid(r.updates); }
 
 template <typename Message>
 std::string encoded(const Message& message) {
@@ -72,7 +72,7 @@
   } catch (const std::exception&) {
     return false;
   }
-  if (!meant(message)) return false;
+  if (!isValid(message)) return false;
   out = std::move(message);
   return true;
 }
--- a/src/fleet/member_messages.h
+++ b/src/fleet/member_messages.h
@@ -1,10 +1,10 @@
-// What the members of a fleet say to each other: a question, its reply, and with both some news of others.
+// Membership messages: pings and their replies. Both carry gossip updates about other relays.
 //
-//   std::string payload = encodeMembers(question);
-//   Ping question;
-//   if (!decodeMembers(payload, question)) ...     // not a question; nothing was taken
+//   std::string payload = encodeMembers(ping);
+//   Ping ping;
+//   if (!decodeMembers(payload, ping)) ...     // not a ping; `ping` is unchanged
 //
-// O(size). Everything that comes in is bounded here, so that nobody behind has to ask.
+// O(size). Decoding checks all bounds, so that later code need not check them again.
 #pragma once
 
 #include <cstdint>
@@ -16,49 +16,50 @@
 
 namespace myrtleloft {
 
-// In the order in which one overrides the other at the same incarnation and denial.
+// In ascending precedence: a higher state overrides a lower one at the same incarnation and denial.
 enum class MemberState : std::uint8_t {
-  kUnknown,  // never heard of since the own start; not spread
+  kUnknown,  // not known since this relay started; not spread
   kAlive,
-  kSuspect,  // silent to one relay and to those whom it asked; it may deny it with a higher `denial`
-  kDead,     // suspect for so long that it would have heard of it and denied it, and silent when asked again
+  kSuspect,  // did not answer one relay or its helpers; refutes this with a higher `denial`
+  kDead,     // suspect for the whole suspicion timeout without a denial, and silent when pinged again
 };
 
-// What one relay has to tell of another: spread with questions and replies, newest first, a few at a time.
+// State of one relay as another knows it, piggybacked on pings and replies: newest first, a few per message.
 struct GossipUpdate {
   std::string name;
   Incarnation incarnation;
-  std::uint64_t denial = 0;  // only the relay itself raises it, to take back a suspicion or a death
+  std::uint64_t denial = 0;  // raised only by the relay itself, to refute a suspicion or a death
   MemberState state = MemberState::kUnknown;
-  std::string building;  // as the relay introduced itself; empty: not told
+  std::string building;  // as in its introduction; empty if not stated
   friend bool operator==(const GossipUpdate&, const GossipUpdate&) = default;
 };
 
 struct Ping {
-  std::uint64_t number = 0;  // the asker's own, from 1
-  std::string target;        // empty: the one asked; else it asks that one in its turn
-  std::string onBehalfOf;    // who wants to know, where the asker does not ask for itself
+  std::uint64_t number = 0;  // assigned by the sender, from 1
+  std::string target;        // empty for a direct ping, else the relay that the receiver is to ping
+  std::string onBehalfOf;    // the relay that requested an indirect ping; empty for a direct one
   std::vector<GossipUpdate> updates;
 };
 
 inline constexpr std::uint32_t kNeverHeard = 0xffffffff;
 
 struct PingReply {
-  std::uint64_t number = 0;  // the question's
-  bool reached = true;       // false: the third did not answer in its time
-  // How long before its reply the one asked about had heard, by itself, the one that wants to know.
+  std::uint64_t number = 0;  // number of the ping
+  bool reached = true;       // false if the target did not answer the helper in time
+  // Milliseconds between the last message that the target received from the requesting relay itself and its
+  // reply.
   std::uint32_t heardMsAgo = kNeverHeard;
   std::vector<GossipUpdate> updates;
 };
 
-// A payload with more, or longer ones, is none.
+// Bounds of a message; a payload beyond them is not valid.
 inline constexpr std::size_t kMaxGossipUpdates = 16;
 inline constexpr std::size_t kMaxMemberNameBytes = 64;
 inline constexpr std::uint64_t kMaxDenial = std::uint64_t{1} << 48;
 
 std::string encodeMembers(const Ping& ping);
 std::string encodeMembers(const PingReply& reply);
-// false: too short, too long, or a value that no relay means; `out` is as it was.
+// Returns false, leaving `out` unchanged, if the payload has the wrong length or an invalid value.
 bool decodeMembers(std::string_view payload, Ping& out);
 bool decodeMembers(std::string_view payload, PingReply& out);
 
--- a/src/fleet/member_probing.cpp
+++ b/src/fleet/member_probing.cpp
@@ -31,8 +31,8 @@
 }
 
 std::optional<IndirectPing> IndirectPings::overdue(double nowMs) {
-  const auto at =
-      std::find_if(pending_.begin(), pending_.end(), [&](const IndirectPing& q) { return q.byMs <= nowMs; });
+  const auto at = std::find_if(pending_.begin(), pending_.end(),
+                               [&](const IndirectPing& q) { return q.deadlineMs <= nowMs; });
   if (at == pending_.end()) return std::nullopt;
   IndirectPing ping = std::move(*at);
   pending_.erase(at);
@@ -41,12 +41,12 @@
 
 double IndirectPings::nextMs() const {
   double next = kNever;
-  for (const IndirectPing& q : pending_) next = std::min(next, q.byMs);
+  for (const IndirectPing& q : pending_) next = std::min(next, q.deadlineMs);
   return next;
 }
 
 void IndirectPings::extend(double byMs) {
-  for (IndirectPing& q : pending_) q.byMs += byMs;
+  for (IndirectPing& q : pending_) q.deadlineMs += byMs;
 }
 
 void MemberRound::prioritize(const std::string& name) {
@@ -67,7 +67,7 @@
     }
   }
   tookPrioritized_ = false;
-  // One pass over what is left of this round, one over a new one.
+  // One pass over the rest of this round, one over a new round.
   for (int round = 0; round < 2; ++round) {
     while (!remaining_.empty()) {
       std::string name = std::move(remaining_.back());
@@ -80,13 +80,13 @@
   return {};
 }
 
-std::vector<std::string> MemberRound::draw(std::vector<std::string> names, std::size_t most) {
+std::vector<std::string> MemberRound::draw(std::vector<std::string> names, std::size_t maxCount) {
   shuffle(names);
-  if (names.size() > most) names.resize(most);
+  if (names.size() > maxCount) names.resize(maxCount);
   return names;
 }
 
-// Not std::shuffle, whose draws may differ from library to library.
+// std::shuffle may give different orders with different libraries.
 void MemberRound::shuffle(std::vector<std::string>& names) {
   for (std::size_t i = names.size(); i > 1; --i) std::swap(names[i - 1], names[random_() % i]);
 }
--- a/src/fleet/member_probing.h
+++ b/src/fleet/member_probing.h
@@ -1,5 +1,5 @@
-// The one question that a member has out for itself, those that it asks for others, and whose turn it is.
-// Times are passed in; nobody is sent anything from here.
+// State of pings: the probe that a member runs, the indirect pings that it relays for others, and the order
+// in which it probes its peers. Times are passed in; nothing is sent from here.
 #pragma once
 
 #include <cstdint>
@@ -12,38 +12,37 @@
 
 namespace myrtleloft {
 
-// A question to one peer, at first directly, then through thirds.
+// A probe of one peer: first a direct ping, then indirect pings through helpers.
 struct MemberProbe {
   enum class Phase : std::uint8_t { kNone, kDirect, kIndirect, kReached };
   Phase phase = Phase::kNone;
   std::string target;
   std::uint64_t number = 0;
   double pingedAtMs = 0, directDeadlineMs = 0, deadlineMs = 0;
-  int helpers = 0, unreached = 0;  // asked; of those, the ones that reached it no more than we did
-  bool extended = false;           // the own lateness was taken off once
+  int helpers = 0, unreached = 0;  // helpers asked, and those of them that did not reach the target
+  bool extended = false;           // the deadlines were extended for a late call
 
   bool running() const { return phase == Phase::kDirect || phase == Phase::kIndirect; }
   double nextMs() const;
-  // We were late ourselves, by so much: those asked get as much longer, once, for their replies may lie
-  // unread.
+  // Extends the deadlines by the lateness of this process, once per probe, as replies may still be unread.
   void extend(double byMs);
 };
 
-// A question that another asked us to put.
+// An indirect ping that this member relays for another.
 struct IndirectPing {
   std::string from;
   std::uint64_t senderNumber = 0, ownNumber = 0;
   std::string target;
-  double byMs = 0;
+  double deadlineMs = 0;
 };
 
 class IndirectPings {
  public:
-  // More at once are turned down: it is as if the third had not been reached.
-  static constexpr std::size_t kMost = 64;
-  bool full() const { return pending_.size() >= kMost; }
+  // Further indirect pings are answered as if the target had not been reached.
+  static constexpr std::size_t kMaxPending = 64;
+  bool full() const { return pending_.size() >= kMaxPending; }
   void add(IndirectPing ping) { pending_.push_back(std::move(ping)); }
-  // The one that this reply is for, which waits no longer.
+  // Removes and returns the indirect ping that this reply answers.
   std::optional<IndirectPing> answered(const std::string& by, std::uint64_t ownNumber);
   std::optional<IndirectPing> overdue(double nowMs);
   double nextMs() const;
@@ -54,15 +53,16 @@
   std::vector<IndirectPing> pending_;
 };
 
-// Whose turn it is: a round in drawn order, each round another; some go first when there is a reason.
+// Order of probes: rounds in random order, newly drawn each time. Prioritized peers are probed earlier.
 class MemberRound {
  public:
   explicit MemberRound(std::uint64_t seed) : random_(seed) {}
   void prioritize(const std::string& name);
-  // `dueSuspect`: that one may go before the others, every other time. `eligible`: all that may be asked.
+  // Returns the next peer to probe. Every second call prefers `dueSuspect` and prioritized peers; `eligible`
+  // lists all peers that may be probed.
   std::string next(const std::string& dueSuspect, const std::vector<std::string>& eligible);
-  // `most` of them, drawn.
-  std::vector<std::string> draw(std::vector<std::string> names, std::size_t most);
+  // Returns up to `maxCount` of the names, drawn at random.
+  std::vector<std::string> draw(std::vector<std::string> names, std::size_t maxCount);
 
  private:
   void shuffle(std::vector<std::string>& names);
--- a/src/fleet/member_table.cpp
+++ b/src/fleet/member_table.cpp
@@ -18,12 +18,12 @@
 
 const MemberIncarnation* Member::present() const {
   if (linked) {
-    if (const MemberIncarnation* life = find(link.life)) return life;
+    if (const MemberIncarnation* record = find(link.life)) return record;
   }
   const MemberIncarnation* best = nullptr;
   for (const MemberIncarnation& l : incarnations) {
-    const auto rank = [](const MemberIncarnation& life) {
-      return std::pair(life.state, ~life.incarnation.life);
+    const auto rank = [](const MemberIncarnation& record) {
+      return std::pair(record.state, ~record.incarnation.life);
     };
     if (best == nullptr || rank(l) < rank(*best)) best = &l;
   }
@@ -35,8 +35,8 @@
 }
 
 MemberState Member::state() const {
-  const MemberIncarnation* life = present();
-  return life == nullptr ? MemberState::kUnknown : life->state;
+  const MemberIncarnation* record = present();
+  return record == nullptr ? MemberState::kUnknown : record->state;
 }
 
 bool mergeUpdate(std::vector<MemberIncarnation>& incarnations, const GossipUpdate& update) {
@@ -54,23 +54,23 @@
     incarnations.push_back({update.incarnation, update.denial, update.state, update.building});
     return true;
   }
-  MemberIncarnation& life = *at;
-  if (update.incarnation.start != life.incarnation.start) {
-    if (update.incarnation.start < life.incarnation.start) return false;
-    life = {update.incarnation, update.denial, update.state, update.building};
+  MemberIncarnation& record = *at;
+  if (update.incarnation.start != record.incarnation.start) {
+    if (update.incarnation.start < record.incarnation.start) return false;
+    record = {update.incarnation, update.denial, update.state, update.building};
     return true;
   }
   bool changed = false;
-  if (update.building > life.building) {
-    life.building = update.building;
+  if (update.building > record.building) {
+    record.building = update.building;
     changed = true;
   }
-  if (std::pair(update.denial, update.state) > std::pair(life.denial, life.state)) {
-    life.denial = update.denial;
-    life.state = update.state;
+  if (std::pair(update.denial, update.state) > std::pair(record.denial, record.state)) {
+    record.denial = update.denial;
+    record.state = update.state;
     changed = true;
   }
-  if (changed) life.sent = 0;
+  if (changed) record.sent = 0;
   return changed;
 }
 
@@ -100,21 +100,21 @@
   return const_cast<Member*>(std::as_const(*this).find(name));
 }
 
-GossipUpdate MemberTable::updateOf(const std::string& name, const MemberIncarnation& life) {
-  return {name, life.incarnation, life.denial, life.state, life.building};
+GossipUpdate MemberTable::updateOf(const std::string& name, const MemberIncarnation& record) {
+  return {name, record.incarnation, record.denial, record.state, record.building};
 }
 
 void MemberTable::addUpdates(std::vector<GossipUpdate>& updates, int fresh, int known, int times) {
-  const auto add = [&](const Member& m, MemberIncarnation& life) {
-    GossipUpdate one = updateOf(m.name, life);
+  const auto add = [&](const Member& m, MemberIncarnation& record) {
+    GossipUpdate one = updateOf(m.name, record);
     if (std::find(updates.begin(), updates.end(), one) != updates.end()) return;
-    ++life.sent;
+    ++record.sent;
     updates.push_back(std::move(one));
   };
   std::vector<std::pair<Member*, MemberIncarnation*>> unspread;
   for (Member& m : members_) {
-    for (MemberIncarnation& life : m.incarnations) {
-      if (life.sent < times) unspread.emplace_back(&m, &life);
+    for (MemberIncarnation& record : m.incarnations) {
+      if (record.sent < times) unspread.emplace_back(&m, &record);
     }
   }
   const auto end = unspread.begin() + std::min<std::ptrdiff_t>(fresh, std::ssize(unspread));
@@ -123,8 +123,8 @@
   for (auto it = unspread.begin(); it != end; ++it) add(*it->first, *it->second);
   for (std::size_t looked = 0; known > 0 && looked < members_.size(); ++looked) {
     Member& m = members_[turn_++ % members_.size()];
-    if (MemberIncarnation* life = m.present()) {
-      add(m, *life);
+    if (MemberIncarnation* record = m.present()) {
+      add(m, *record);
       --known;
     }
   }
--- a/src/fleet/member_table.h
+++ b/src/fleet/member_table.h
@@ -1,11 +1,11 @@
-// What is believed of each peer, and how news changes it.
+// State of each peer, and how gossip updates change it.
 //
-// Within one life, news is ordered by (start, denial, standing): the higher one stands, whatever the order in
-// which they come in. Lives have no order among themselves, for they are random; each is believed for itself.
-// Which of them is the present one: that of the link that is up; without a link, one that is not dead.
+// Within one `life`, updates are ordered by (start, denial, state) and the highest wins, whatever the order
+// of arrival. Lives have no order among themselves, as they are random; each is tracked separately. The
+// current one is that of the established link or, without a link, one that is not dead.
 //
-// `mergeUpdate` is the whole merge: idempotent, commutative and associative, up to `kMaxIncarnations` lives
-// of a name.
+// `mergeUpdate` is the whole merge. It is idempotent, commutative and associative for up to
+// `kMaxIncarnations` lives of a name.
 #pragma once
 
 #include <cstdint>
@@ -18,52 +18,52 @@
 
 namespace myrtleloft {
 
-// One life of one peer.
+// State of one `life` of a peer, with its latest run.
 struct MemberIncarnation {
   Incarnation incarnation;
   std::uint64_t denial = 0;
   MemberState state = MemberState::kUnknown;
   std::string building;
-  double suspectSinceMs = 0;  // where it is suspect: since when here
-  int sent = 0;               // how often this was spread from here
+  double suspectSinceMs = 0;  // time at which it became suspect here
+  int sent = 0;               // how often this state was sent
 };
 
-// Whether the peer hears us, by its own word or by a third's.
+// Whether the peer receives our messages, by its own reply or by that of a helper.
 enum class Hears : std::uint8_t { kNotKnown, kNo, kYes };
 
 struct Member {
   std::string name;
   std::vector<MemberIncarnation> incarnations;
   bool linked = false;
-  Incarnation link;                     // while linked
-  std::vector<Incarnation> introduced;  // the newest start of each life that introduced itself here
+  Incarnation link;                     // valid while linked
+  std::vector<Incarnation> introduced;  // latest run of each life that introduced itself here
   double heardAtMs = -std::numeric_limits<double>::infinity();
-  bool heard = false;  // false as well: the last question to it was not answered by itself
+  bool heard = false;  // also false if the peer itself did not answer the last probe
   Hears hears = Hears::kNotKnown;
-  std::string via;             // the third that reached it last time; empty: none had to, or it failed since
-  std::uint64_t answered = 0;  // the highest number of ours that it replied to
+  std::string via;  // helper that reached it in the last probe; empty if none was needed or it failed since
+  std::uint64_t answered = 0;  // highest number of our pings that it answered
   double pingedAtMs = -std::numeric_limits<double>::infinity();
-  // As last told to the caller.
+  // As last reported to the caller.
   MemberState reportedState = MemberState::kUnknown;
   Incarnation reportedIncarnation;
 
   const MemberIncarnation* find(std::uint64_t life) const;
   MemberIncarnation* find(std::uint64_t life);
-  // nullptr: nothing is known of it.
+  // Returns the current life, or nullptr if nothing is known of the peer.
   const MemberIncarnation* present() const;
   MemberIncarnation* present();
   MemberState state() const;
 };
 
-// A folder is lost rarely; of a name with more lives than this, dead ones are forgotten first.
+// State folders are rarely lost. Beyond this number of lives of a name, dead ones are dropped first.
 inline constexpr std::size_t kMaxIncarnations = 4;
 
-// Whether it changed anything.
+// Returns whether the update changed anything.
 bool mergeUpdate(std::vector<MemberIncarnation>& incarnations, const GossipUpdate& update);
 
 class MemberTable {
  public:
-  // Those that stay keep what is known of them.
+  // Peers that remain in the list keep their state.
   void setPeers(const std::vector<std::string>& names);
   Member* find(std::string_view name);
   const Member* find(std::string_view name) const;
@@ -71,13 +71,13 @@
   const std::vector<Member>& all() const { return members_; }
   std::size_t size() const { return members_.size(); }
 
-  // News for one message: what was spread fewer than `times` times, fewest first, `fresh` at most; and
-  // `known` of the rest in turn, so that what was lost is made up for in the end. Counted as spread.
+  // Adds updates for one message and counts them as sent: up to `fresh` that were sent fewer than `times`
+  // times, least sent first, and `known` others in rotation, so that lost updates are eventually sent again.
   void addUpdates(std::vector<GossipUpdate>& updates, int fresh, int known, int times);
   static GossipUpdate updateOf(const std::string& name, const MemberIncarnation& life);
 
  private:
-  std::vector<Member> members_;  // by name
+  std::vector<Member> members_;  // sorted by name
   std::size_t turn_ = 0;
 };
 
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -33,13 +33,13 @@
   probe_ = {};
   indirectPings_.clear();
   for (Member& m : table_.all()) {
-    for (MemberIncarnation& life : m.incarnations) life.suspectSinceMs = nowMs;
+    for (MemberIncarnation& record : m.incarnations) record.suspectSinceMs = nowMs;
   }
   periodAtMs_ = repliedAtMs_ = nowMs;
   startCatchingUp();
 }
 
-// What was due before this call, and was not called for, says how late we are ourselves.
+// Measures how late this call is, and so whether this process stalled.
 void Members::begin(double nowMs) {
   step_ = {};
   if (!std::exchange(begun_, true)) {
@@ -58,12 +58,12 @@
 Members::Step Members::finish(double nowMs) {
   advance(nowMs);
   for (Member& m : table_.all()) {
-    const MemberIncarnation* life = m.present();
-    if (life == nullptr) continue;
-    if (life->state == m.reportedState && life->incarnation == m.reportedIncarnation) continue;
-    step_.changes.push_back({m.name, life->incarnation, m.reportedState, life->state});
-    m.reportedState = life->state;
-    m.reportedIncarnation = life->incarnation;
+    const MemberIncarnation* record = m.present();
+    if (record == nullptr) continue;
+    if (record->state == m.reportedState && record->incarnation == m.reportedIncarnation) continue;
+    step_.changes.push_back({m.name, record->incarnation, m.reportedState, record->state});
+    m.reportedState = record->state;
+    m.reportedIncarnation = record->incarnation;
   }
   dueMs_ = std::max(nowMs, std::min({periodAtMs_, probe_.nextMs(), indirectPings_.nextMs()}));
   step_.nextMs = dueMs_;
@@ -120,19 +120,19 @@
   m.heardAtMs = nowMs;
   m.heard = true;
   m.hears = Hears::kNotKnown;
-  // Its other lives are over: their folder is lost, or another took the name.
-  for (MemberIncarnation& life : m.incarnations) {
-    if (life.incarnation.life == m.link.life || life.state == MemberState::kDead) continue;
-    life.state = MemberState::kDead;
-    life.sent = 0;
+  // An introduction ends all other lives of the name: their folder was lost, or another relay took the name.
+  for (MemberIncarnation& record : m.incarnations) {
+    if (record.incarnation.life == m.link.life || record.state == MemberState::kDead) continue;
+    record.state = MemberState::kDead;
+    record.sent = 0;
   }
-  // A start beyond this one that was only hearsay, of the same life, is not true.
-  if (MemberIncarnation* life = m.find(m.link.life);
-      life != nullptr && life->incarnation.start > m.link.start) {
-    *life = {m.link, 0, MemberState::kAlive, peer.building};
+  // A later run of this life is known from gossip only, so it is false.
+  if (MemberIncarnation* record = m.find(m.link.life);
+      record != nullptr && record->incarnation.start > m.link.start) {
+    *record = {m.link, 0, MemberState::kAlive, peer.building};
   }
   merge(nowMs, m, {peer.name, peer.incarnation, 0, MemberState::kAlive, peer.building});
-  // At its next turn it hears what is held against it, and denies it.
+  // Pinging it soon lets it learn of the suspicion and refute it.
   if (m.state() != MemberState::kAlive) round_.prioritize(peer.name);
   if (catchingUp_ && catchUpPings_ < tuning_.catchUp) {
     ++catchUpPings_;
@@ -146,7 +146,7 @@
   if (Member* m = table_.find(peer); m != nullptr && m->linked) {
     m->linked = m->heard = false;
     m->hears = Hears::kNotKnown;
-    // No guess yet, but a reason to ask.
+    // A lost link alone does not make the peer suspect, but it is probed early.
     round_.prioritize(peer);
   }
   return finish(nowMs);
@@ -160,11 +160,11 @@
     view.linked = m.linked;
     view.heard = m.heard;
     view.hears = m.hears;
-    if (const MemberIncarnation* life = m.present()) {
-      view.building = life->building;
-      view.incarnation = life->incarnation;
-      view.denial = life->denial;
-      view.state = life->state;
+    if (const MemberIncarnation* record = m.present()) {
+      view.building = record->building;
+      view.incarnation = record->incarnation;
+      view.denial = record->denial;
+      view.state = record->state;
     }
   }
   return views;
--- a/src/fleet/members.h
+++ b/src/fleet/members.h
@@ -1,19 +1,19 @@
-// Which relays of the fleet are there: decided without I/O, time and random numbers passed in. In the manner
-// of SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's care for an own stall (Dadgar, Phillips, Currey,
-// 2018), on a list of peers that the operator wrote. docs/design/fleet-membership.md says why.
+// Decides which relays of the fleet are alive, without I/O; time and random numbers are passed in. Based on
+// SWIM (Das, Gupta, Motivala, 2002) with the local health of Lifeguard (Dadgar, Phillips, Currey, 2018), for
+// a list of peers that the operator wrote. docs/design/fleet-membership.md gives the reasons.
 //
 //   Members members(tuning, {"fleet", "n1", "b1", incarnation}, {"n2", "n3"}, seed);
-//   Members::Step step = members.onTick(nowMs);                 // at least by `step.nextMs`, the first at
-//   once for (MemberSend& s : step.sends) links.send(s.to, s.kind, std::move(s.payload));  // lost: no harm
+//   Members::Step step = members.onTick(nowMs);  // at once, and again at the latest at `step.nextMs`
+//   for (MemberSend& s : step.sends) links.send(s.to, s.kind, std::move(s.payload));  // a send may fail
 //   for (MemberChange& c : step.changes) ...
 //   step = members.onLinkUp(nowMs, introduction);
-//   if (!members.onMessage(nowMs, peer, kind, payload, step)) ...  // no such message; nothing was taken
+//   if (!members.onMessage(nowMs, peer, kind, payload, step)) ...  // not valid; nothing was applied
 //
-// Every call gives a step, and each step's `nextMs` replaces the one before. nowMs: a steady clock's, never
-// going back. One thread; a call takes O(peers) at most; memory O(peers).
+// Every call returns a step, whose `nextMs` replaces the previous one. nowMs is the time of a monotonic
+// clock. Single-threaded; a call takes O(peers) time, and memory is O(peers).
 //
-// What a standing means: it is a guess from silence, and nobody may act for another on it alone. It may only
-// start a takeover, which succeeds by the fence at the holders (docs/design/copies.md).
+// A member state is inferred from silence, so no relay may act for another on it alone. It may only start a
+// takeover, which succeeds by fencing the holders of the copies (docs/design/copies.md).
 #pragma once
 
 #include <cstdint>
@@ -28,18 +28,19 @@
 
 namespace myrtleloft {
 
-// The constants' source: what a machine that is lost with its disk may cost, 3 s in all, of which the span
-// for three relays takes six periods; and what a loop that is busy, but lives, takes to reply.
+// The defaults follow from two bounds: losing a machine with its disk may cost 3 s in all, of which the
+// suspicion timeout for three relays takes six periods; and a busy but live event loop must have time to
+// reply.
 struct MembersTuning {
-  double periodMs = 200;     // one question of its own each
-  double replyMs = 60;       // for a reply; through a third three times as long in all. At most periodMs / 3
-  int helpers = 3;           // asked where there was no reply
-  int spanFactor = 3;        // a suspicion lasts this many periods for each doubling of the fleet
-  int spreadFactor = 3;      // news is spread this many times for each doubling
-  int fresh = 6, known = 2;  // news of a message beside the sender's own and the addressee's
-  double stallMs = 400;      // a call later than this after it was due: the own process stood still
-  int maxHealth = 4;         // own trouble stretches waits up to 1 + this many times
-  int catchUp = 8;           // further questions a period while catching up
+  double periodMs = 200;  // each period has one probe
+  double replyMs = 60;    // timeout of a direct ping; with helpers three times as long. At most periodMs / 3
+  int helpers = 3;        // number of helpers asked if there was no reply
+  int spanFactor = 3;     // the suspicion timeout is this many periods for each doubling of the fleet
+  int spreadFactor = 3;   // an update is sent this many times for each doubling
+  int fresh = 6, known = 2;  // updates of a message, besides those about its sender and receiver
+  double stallMs = 400;      // a call delayed by more than this means that this process stalled
+  int maxHealth = 4;         // timeouts are multiplied by up to 1 + this
+  int catchUp = 8;           // additional pings in a period while catching up
 };
 
 struct MemberSend {
@@ -48,7 +49,7 @@
   std::string payload;
 };
 
-// Another standing, or the same one of a new incarnation.
+// A new state of a peer, or the same state of a new incarnation.
 struct MemberChange {
   std::string name;
   Incarnation incarnation;
@@ -62,7 +63,8 @@
   std::uint64_t denial = 0;
   MemberState state = MemberState::kUnknown;
   bool linked = false;
-  // A one-way cut: `hears` is kYes and `heard` false, or the other way about. As of its last turn.
+  // A link broken in one direction shows as `hears` kYes with `heard` false, or the reverse. Updated when the
+  // peer is probed.
   bool heard = false;
   Hears hears = Hears::kNotKnown;
 };
@@ -78,29 +80,30 @@
   Members(const MembersTuning& tuning, PeerIntroduction own, const std::vector<std::string>& peers,
           std::uint64_t seed);
 
-  // From `[fleet] peers`: without the own name. Those that stay keep what is known of them.
+  // Takes `[fleet] peers`, without this relay. Peers that remain in the list keep their state.
   Step setPeers(double nowMs, const std::vector<std::string>& peers);
   Step onTick(double nowMs);
-  // An older start of a life than one that introduced itself before is as if it had no link (`refuses`).
+  // An earlier run than one that introduced itself before is treated as having no link (see `refuses`).
   Step onLinkUp(double nowMs, const PeerIntroduction& peer);
   Step onLinkDown(double nowMs, const std::string& peer);
-  // From a peer without a link, or not of the peers: nothing is taken.
+  // Messages of unknown peers, or of peers without a link, are ignored.
   Step onPing(double nowMs, const std::string& from, const Ping& ping);
   Step onReply(double nowMs, const std::string& from, const PingReply& reply);
-  // kPing or kPingReply. false: the payload is of neither; nothing was taken, and `step` is as it was.
+  // Handles kPing and kPingReply. Returns false, leaving `step` unchanged, if the payload is neither.
   bool onMessage(double nowMs, const std::string& from, FleetKind kind, std::string_view payload, Step& step);
 
   std::vector<MemberView> all() const;
   MemberState state(const std::string& name) const;
-  // Whether the links should close what introduces itself so: unknown, or older than one before it.
+  // Whether the links should close a connection with this introduction: its peer is unknown or its run is
+  // outdated.
   bool refuses(const PeerIntroduction& peer) const;
-  // Catching up: since its start, since a stall, after a span without any reply, or after it was called dead,
-  // it has not yet had replies from so many peers that they and itself are more than half of the fleet. What
-  // it owes may have been taken over: it must ask before it acts.
+  // Whether this relay is catching up: after its start, a stall, a suspicion timeout without any reply, or
+  // its own death being announced, until it has replies from so many peers that together with itself they are
+  // more than half of the fleet. Others may have taken over its pending work, so it must ask before it acts.
   bool isCatchingUp() const { return catchingUp_; }
   std::uint64_t ownDenial() const { return denial_; }
-  int health() const { return health_; }  // 0: well
-  // How long a suspicion lasts at least, in ms, the own process being well.
+  int health() const { return health_; }  // 0 is healthy
+  // Shortest suspicion timeout in ms, which applies while this process is healthy.
   double suspicionTimeoutMs() const;
 
  private:
@@ -140,14 +143,13 @@
   MemberRound round_;
   MemberProbe probe_;
   IndirectPings indirectPings_;
-  std::uint64_t lastNumber_ = 0;  // the last one given out
-  std::uint64_t firstFreshNumber_ =
-      1;  // replies to questions from this number on are later than the own stall
+  std::uint64_t lastNumber_ = 0;        // last ping number assigned
+  std::uint64_t firstFreshNumber_ = 1;  // replies to pings from this number on were sent after the last stall
   bool catchingUp_ = false, begun_ = false;
   int health_ = 0;
-  int catchUpPings_ = 0;  // this period, to catch up
+  int catchUpPings_ = 0;  // pings sent in this period to catch up
   double dueMs_ = 0, periodAtMs_ = 0, repliedAtMs_ = 0;
-  Step step_;  // in the making
+  Step step_;  // step being built by the current call
 };
 
 }  // namespace myrtleloft
--- a/src/fleet/members_news.cpp
+++ b/src/fleet/members_news.cpp
@@ -1,4 +1,4 @@
-// The news of `Members`: what is taken of it, and what goes out with each message.
+// Gossip updates of `Members`: how received ones are applied, and which ones are sent.
 #include <utility>
 
 #include "fleet/members.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Denials are raised one by one: hearsay that jumps further than this beyond what is known is not true.
+// A denial is raised in steps of one; gossip that exceeds the known value by more than this is false.
 constexpr std::uint64_t kMaxDenialJump = 1024;
 
 }  // namespace
@@ -27,20 +27,20 @@
   if (update.name == own_.name) return applyUpdateAboutSelf(update);
   Member* m = table_.find(update.name);
   if (m == nullptr) return;
-  MemberIncarnation* life = m->find(update.incarnation.life);
+  MemberIncarnation* record = m->find(update.incarnation.life);
   const bool present = m->linked && update.incarnation == m->link;
   if (update.name == from) {
-    // Its own word, of itself as it is now, and nothing else of itself.
+    // A relay may only report its current incarnation, as alive.
     if (!present || update.state != MemberState::kAlive) return;
-    if (life != nullptr && life->denial > update.denial + kMaxDenialJump)
-      *life = {m->link, 0, MemberState::kAlive, {}};
+    if (record != nullptr && record->denial > update.denial + kMaxDenialJump)
+      *record = {m->link, 0, MemberState::kAlive, {}};
     return merge(nowMs, *m, update);
   }
-  // Of the start behind the link, the link knows better.
+  // The link determines the run of the peer; gossip about other runs is ignored.
   if (m->linked && update.incarnation.life == m->link.life && !present) return;
-  const bool sameStart = life != nullptr && life->incarnation == update.incarnation;
-  if (sameStart && update.denial > life->denial + kMaxDenialJump) return;
-  // Whom we hear ourselves is not dead by hearsay: the suspicion lasts its span here as well.
+  const bool sameStart = record != nullptr && record->incarnation == update.incarnation;
+  if (sameStart && update.denial > record->denial + kMaxDenialJump) return;
+  // A peer that we receive messages from is not dead by gossip: it is suspect here for the whole timeout too.
   if (update.state == MemberState::kDead && present && nowMs - m->heardAtMs <= suspicionTimeoutMs()) {
     update.state = MemberState::kSuspect;
   }
@@ -49,9 +49,9 @@
 
 void Members::merge(double nowMs, Member& member, const GossipUpdate& update) {
   const auto suspicion = [&]() -> std::pair<Incarnation, std::uint64_t> {
-    const MemberIncarnation* life = member.find(update.incarnation.life);
-    if (life == nullptr || life->state != MemberState::kSuspect) return {};
-    return {life->incarnation, life->denial};
+    const MemberIncarnation* record = member.find(update.incarnation.life);
+    if (record == nullptr || record->state != MemberState::kSuspect) return {};
+    return {record->incarnation, record->denial};
   };
   const auto before = suspicion();
   if (!mergeUpdate(member.incarnations, update)) return;
@@ -59,7 +59,8 @@
   if (after.first.life != 0 && after != before) member.find(update.incarnation.life)->suspectSinceMs = nowMs;
 }
 
-// Of ourselves nobody else has a say: what is not so is denied, and by that taken back everywhere.
+// Only this relay decides its own state. It refutes a false one with a higher denial, which overrides it at
+// all relays.
 void Members::applyUpdateAboutSelf(const GossipUpdate& update) {
   if (update.incarnation != own_.incarnation || update.denial < denial_ || update.denial >= kMaxDenial)
     return;
@@ -76,14 +77,15 @@
 std::vector<GossipUpdate> Members::updatesFor(const std::string& to, const std::string& target) {
   std::vector<GossipUpdate> updates{
       {own_.name, own_.incarnation, denial_, MemberState::kAlive, own_.building}};
-  // What is held against it, so that it can deny it.
+  // Informs the receiver of its suspected or dead state, so that it can refute it.
   if (const Member* m = table_.find(to)) {
-    const MemberIncarnation* life = m->present();
-    if (life != nullptr && life->state != MemberState::kAlive)
-      updates.push_back(MemberTable::updateOf(to, *life));
+    const MemberIncarnation* record = m->present();
+    if (record != nullptr && record->state != MemberState::kAlive)
+      updates.push_back(MemberTable::updateOf(to, *record));
   }
   if (const Member* m = table_.find(target)) {
-    if (const MemberIncarnation* life = m->present()) updates.push_back(MemberTable::updateOf(target, *life));
+    if (const MemberIncarnation* record = m->present())
+      updates.push_back(MemberTable::updateOf(target, *record));
   }
   table_.addUpdates(updates, tuning_.fresh, tuning_.known, tuning_.spreadFactor * doublings());
   return updates;
--- a/src/fleet/members_questions.cpp
+++ b/src/fleet/members_questions.cpp
@@ -1,4 +1,4 @@
-// The questions of `Members`: its own, those for others, and what silence comes to.
+// Pings of `Members`: its own probes, indirect pings for others, and the results of missing replies.
 #include <algorithm>
 #include <utility>
 
@@ -9,9 +9,9 @@
 std::string Members::dueSuspect(double nowMs) const {
   const Member* due = nullptr;
   for (const Member& m : table_.all()) {
-    const MemberIncarnation* life = m.present();
-    if (life == nullptr || life->state != MemberState::kSuspect) continue;
-    if (nowMs < life->suspectSinceMs + suspicionTimeoutMs() * stretch()) continue;
+    const MemberIncarnation* record = m.present();
+    if (record == nullptr || record->state != MemberState::kSuspect) continue;
+    if (nowMs < record->suspectSinceMs + suspicionTimeoutMs() * stretch()) continue;
     if (due == nullptr || m.pingedAtMs < due->pingedAtMs) due = &m;
   }
   return due == nullptr ? std::string() : due->name;
@@ -55,7 +55,7 @@
 void Members::pingIndirectly(double nowMs) {
   probe_.phase = MemberProbe::Phase::kIndirect;
   probe_.deadlineMs = std::max(probe_.deadlineMs, nowMs + 2 * tuning_.replyMs * stretch());
-  // Where few links to it are left, the one that worked is not left to chance.
+  // The helper that reached the target last time is always asked, as few others may have a link to it.
   std::vector<std::string> linked = helpersFor(probe_.target, true), helpers;
   const std::string& via = table_.find(probe_.target)->via;
   if (std::erase(linked, via) > 0) helpers.push_back(via);
@@ -67,8 +67,8 @@
   for (const std::string& third : helpers) sendPing(third, probe_.target, "", probe_.number);
 }
 
-// Nobody is suspected on one relay's word: of those asked, one at least must say that it did not reach it
-// either. Where none of them says anything, it is we who may be cut off.
+// A peer becomes suspect only if at least one helper reports that it did not reach it either. If no helper
+// answers, this relay may be the one that is cut off.
 void Members::evaluateProbe(double nowMs) {
   const MemberProbe probe = std::exchange(probe_, {});
   if (probe.unreached < probe.helpers) adjustHealth(1);
@@ -78,13 +78,13 @@
   if (m.heardAtMs < probe.pingedAtMs) m.heard = false;
   m.hears = Hears::kNotKnown;
   m.via.clear();
-  const MemberIncarnation* life = m.present();
-  if (life == nullptr) return;
-  GossipUpdate update = MemberTable::updateOf(m.name, *life);
-  if (life->state == MemberState::kAlive) {
+  const MemberIncarnation* record = m.present();
+  if (record == nullptr) return;
+  GossipUpdate update = MemberTable::updateOf(m.name, *record);
+  if (record->state == MemberState::kAlive) {
     update.state = MemberState::kSuspect;
-  } else if (life->state == MemberState::kSuspect &&
-             probe.pingedAtMs >= life->suspectSinceMs + suspicionTimeoutMs() * stretch()) {
+  } else if (record->state == MemberState::kSuspect &&
+             probe.pingedAtMs >= record->suspectSinceMs + suspicionTimeoutMs() * stretch()) {
     update.state = MemberState::kDead;
   }
   merge(nowMs, m, update);
@@ -128,7 +128,7 @@
 
 Members::Step Members::onReply(double nowMs, const std::string& from, const PingReply& reply) {
   begin(nowMs);
-  // A number that was never given out is no reply.
+  // Ignores replies to numbers that were never assigned.
   if (reply.number == 0 || reply.number > lastNumber_ || !applyGossip(nowMs, from, reply.updates)) {
     return finish(nowMs);
   }
@@ -157,11 +157,12 @@
   return finish(nowMs);
 }
 
-// A third reached it, we did not. If it has heard us since we asked, its reply is what is lost.
+// A helper reached the target and we did not. If the target has received a message from us since the probe
+// began, only its replies are lost.
 void Members::updateHears(double nowMs, Member& target, std::uint32_t heardMsAgo) {
   const bool hears = target.linked && heardMsAgo <= nowMs - probe_.pingedAtMs;
   target.hears = hears ? Hears::kYes : Hears::kNo;
-  // In so long it would have asked us by itself.
+  // Within this time the target would have pinged us itself.
   const double turnsMs = 2.0 * (static_cast<double>(table_.size()) + 1) * tuning_.periodMs * stretch();
   const double since = hears ? probe_.pingedAtMs : nowMs - turnsMs;
   if (target.heardAtMs < since) target.heard = false;
--- a/src/fleet/peer_links.h
+++ b/src/fleet/peer_links.h
@@ -1,8 +1,6 @@
-// The two sides of the links as other packages see them. `Links` (fleet/links.h) implements the first on the
-// loop; tests put a drawn network in its place.
-//
-// One thread. Nothing here waits: what a link cannot take now is refused, and the caller decides what that
-// means.
+// Interface between the links and the other packages. `Links` (fleet/links.h) implements `PeerLinks` on the
+// event loop; tests use a simulated network instead. Single-threaded. No call blocks: a message that a link
+// cannot queue is refused, and the caller decides what follows.
 #pragma once
 
 #include <string>
@@ -15,28 +13,28 @@
 class PeerLinks {
  public:
   virtual ~PeerLinks() = default;
-  // Queues one message behind all that were queued for that peer. false: there is no link, or its queue is
-  // full; nothing was queued. Kinds of the members go before all others, within a bound of their own, so that
-  // a peer does not look dead behind a queue. A message that was queued may still be lost with its link, and
-  // one that was sent arrives once, whole and in order within one link, or not at all. O(size).
+  // Appends one message to the queue of that peer. Returns false, with nothing queued, if there is no link or
+  // the queue is full. Membership messages are sent before all others, within a bound of their own, so that a
+  // full queue does not make the peer seem dead. A queued message may be lost with its link. Within one link
+  // each message is delivered at most once, complete and in order. O(size).
   virtual bool send(const std::string& peer, FleetKind kind, std::string payload) = 0;
-  // Whether the link is up: both have introduced themselves. It says nothing of whether the peer still lives.
+  // Whether both sides of the link have introduced themselves. This does not imply that the peer is alive.
   virtual bool up(const std::string& peer) const = 0;
-  // Bytes of payload that `send` would take at least, for kinds that are not the members'. 0 without a link.
+  // Returns the payload bytes that `send` would accept now for kinds other than membership; 0 without a link.
   virtual std::size_t room(const std::string& peer) const = 0;
 };
 
 class PeerSink {
  public:
   virtual ~PeerSink() = default;
-  // Comes before any message of that link. At most one link a peer is up.
+  // Called before any message of that link. At most one link per peer is up.
   virtual void onPeerUp(const PeerIntroduction& peer) = 0;
-  // Comes once after each onPeerUp; what was queued and not sent is gone.
+  // Called once after each onPeerUp; queued messages that were not sent are lost.
   virtual void onPeerDown(const std::string& peer) = 0;
-  // false: the payload is not of that kind. It is counted, told once, and the link is closed; the sink has
-  // taken nothing of it.
+  // Returns false, having used nothing of it, if the payload is not valid for that kind. The links then count
+  // the refusal, log it once and close the link.
   virtual bool onPeerMessage(const std::string& peer, FleetKind kind, std::string_view payload) = 0;
-  // A queue that had refused something has room for half of its bound again.
+  // Called when a queue that refused a message is at most half full again.
   virtual void onPeerWritable(const std::string& peer) = 0;
 };
 
--- a/src/fleet/plan.h
+++ b/src/fleet/plan.h
@@ -1,5 +1,5 @@
-// What the operator's section [fleet] asks for. Off where the section is missing: then nothing of the fleet
-// exists.
+// Settings of the operator's section [fleet]. Without that section the plan is disabled and no part of the
+// fleet is created.
 #pragma once
 
 #include <algorithm>
@@ -12,9 +12,11 @@
 
 namespace myrtleloft {
 
-// All of a fleet but oneself. Bounds of links are stated for 100 (fleet/links.h).
+// Largest number of peers, without the relay itself. The resource bounds in fleet/bounds.h are stated for
+// 100.
 inline constexpr std::size_t kMaxPeers = 127;
-// Of a relay or a fleet, and of a building, in bytes: they stand in the first frame of a link.
+// Lengths in bytes: the name of a relay or a fleet, and of a building. Both are sent in the first frame of a
+// link.
 inline constexpr std::size_t kMaxFleetNameBytes = 64, kMaxBuildingNameBytes = 256;
 
 inline bool isFleetName(std::string_view name) {
@@ -36,12 +38,12 @@
   };
 
   bool enabled = false;
-  std::string name;         // of the fleet: links to relays of another are refused
-  Address listen;           // for the other relays only; port 0 asks for any
-  std::vector<Peer> peers;  // by name; the one thing here that SIGHUP may change
-  int copies = 0;           // further relays that hold what this one owes
+  std::string name;         // name of the fleet; links to relays of another fleet are refused
+  Address listen;           // address for the other relays only; port 0 selects any free port
+  std::vector<Peer> peers;  // sorted by name; the only setting here that SIGHUP changes
+  int copies = 0;           // number of further relays that store what this relay owes
   WhenShort whenShort = WhenShort::kRefuse;
-  int auditIntervalS = 0;  // a round of the audit; 0: none, the section is missing
+  int auditIntervalS = 0;  // seconds between two audit rounds; 0 disables the audit
 };
 
 }  // namespace myrtleloft
--- a/tests/audit_processes_test.cpp
+++ b/tests/audit_processes_test.cpp
@@ -24,7 +24,7 @@
 // the machine's: each relay gives them 2% of a core.
 constexpr int kPatienceMs = 120000;
 
-const std::string kTakenAt = "are taken at ";
+const std::string kTakenAt = "accepting relays of fleet 'vina' at ";
 const std::string kSteps = "audit-steps=";
 
 struct Place {
--- a/tests/fleet_config_test.cpp
+++ b/tests/fleet_config_test.cpp
@@ -1,4 +1,4 @@
-// The section [fleet] of the operator's file.
+// Tests of the section [fleet] of the operator's file.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -36,7 +36,7 @@
   return error ? error->what() : "";
 }
 
-// A configuration and an operator's file on the disk.
+// A configuration and an operator's file in a temporary folder.
 struct Written {
   Written() {
     std::string name = (fs::temp_directory_path() / "fleet-XXXXXX").string();
@@ -178,7 +178,7 @@
   files.operate(kHead + "peers = [\"n2=127.0.0.1:7102\", \"n1=127.0.0.1:7103\"]\n");
   CHECK(has(reloadFault(live), "o.toml:4:31: fleet.peers: expected relays other than this one"));
   CHECK_EQ(plan.peers[0].name, "n9");
-  files.operate("");  // the section is gone: that counts from the next start on
+  files.operate("");  // removing the section takes effect at the next start
   CHECK_EQ(reloadFault(live), "");
   CHECK_EQ(plan.peers[0].name, "n9");
 }
--- a/tests/fleet_frame_test.cpp
+++ b/tests/fleet_frame_test.cpp
@@ -1,4 +1,4 @@
-// Frames as they stand on a link.
+// Tests of the frame format of links.
 #include <doctest/doctest.h>
 
 #include <random>
@@ -17,7 +17,7 @@
   return payload;
 }
 
-// What the reader makes of bytes that come in at once.
+// Returns the fault that the reader reports for bytes received at once.
 FrameFault faultOf(const std::string& bytes) {
   FrameReader reader;
   reader.buffer() += bytes;
--- a/tests/fleet_incarnation_test.cpp
+++ b/tests/fleet_incarnation_test.cpp
@@ -1,4 +1,5 @@
-// The start's number in the state folder: over restarts, damage, a full disk, and an end at each operation.
+// Tests of the run number in the state folder: across restarts, damaged files, a full disk, and a crash at
+// each file operation.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -28,7 +29,7 @@
   lab::CountedShare share;
   CHECK((start(disk, share, 11).incarnation == Incarnation{11, 1}));
   CHECK((start(disk, share, 12).incarnation == Incarnation{11, 2}));
-  disk.losePower();  // it was on the disk before it was used
+  disk.losePower();  // the number was durable before it was used
   CHECK((start(disk, share, 13).incarnation == Incarnation{11, 3}));
   CHECK_EQ(disk.files.size(), 1);
   disk.files.clear();
@@ -72,7 +73,7 @@
         files.crashAt(n, 7);
         lab::CountedShare gone;
         const StoredIncarnation kept = nextIncarnation({files, gone}, "/s", 12);
-        if (kept.fault.empty()) give(kept);  // else the process ended before it was used
+        if (kept.fault.empty()) give(kept);  // otherwise the process ended before it used the number
       }
       if (powerLost) disk.losePower();
       give(start(disk, share, 13));
@@ -90,7 +91,7 @@
     FaultyFiles files(disk);
     files.failAt(n, 1, ENOSPC);
     const StoredIncarnation kept = nextIncarnation({files, share}, "/s", 20 + n);
-    if (kept.fault.empty()) continue;  // it was the removal of what is not there
+    if (kept.fault.empty()) continue;  // the failed operation was the removal of a missing file
     CHECK((kept.incarnation == Incarnation{20 + n, 1}));
     CHECK_EQ(share.used, before);
   }
--- a/tests/fleet_links_test.cpp
+++ b/tests/fleet_links_test.cpp
@@ -1,4 +1,4 @@
-// Links that come up, carry, go and come again.
+// Tests of links: connecting, transfer, loss and reconnection.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -44,7 +44,7 @@
   LinkedRelay n1(site.loop, "n1", FleetSite::tuning()), n2(site.loop, "n2", FleetSite::tuning());
   know(n1, n2);
   REQUIRE(site.until([&] { return n1.links->up("n2") && n2.links->up("n1"); }));
-  // Within one turn nothing is written yet.
+  // Nothing is written within the same turn of the loop.
   std::size_t copies = 0, bytes = 0;
   while (const std::size_t room = std::min<std::size_t>(n1.links->room("n2"), 40000)) {
     REQUIRE(n1.links->send("n2", FleetKind::kCopy, std::string(room, 'c')));
@@ -73,7 +73,7 @@
     know(n1, n2);
     REQUIRE(site.until([&] { return n1.links->up("n2") && n2.links->up("n1"); }));
     CHECK((n1.links->figures().dials >= 1 && n2.links->figures().dials >= 1));
-    // A message each way over the link that is left.
+    // Sends a message in each direction over the remaining link.
     CHECK(site.until([&] {
       if (n2.got["n1"].empty()) n1.links->send("n2", FleetKind::kCopy, "x");
       if (n1.got["n2"].empty()) n2.links->send("n1", FleetKind::kCopy, "y");
@@ -110,7 +110,7 @@
   FleetSite site;
   LinkedRelay n1(site.loop, "n1", FleetSite::tuning()), n3(site.loop, "n3", FleetSite::tuning());
   n3.links->setPeers({n1.peer("n1")});
-  // The list has n2 at n3's address, and n3 at one where nobody is.
+  // The list gives n2 the address of n3, and n3 an address without a listener.
   n1.links->setPeers({n3.peer("n2"), {"n3", parseAddress("127.0.0.1:1").value()}});
   CHECK(site.until([&] { return n1.ends(LinkEnd::kOtherName) > 0; }));
   CHECK_FALSE(n1.links->up("n2"));
@@ -127,7 +127,7 @@
   CHECK_EQ(n1.count("down n2"), 1);
   REQUIRE(site.until([&] { return n1.links->up("n4") && n1.ends(LinkEnd::kUnknownName) > 0; }));
   CHECK((n1.links->up("n3") && n1.count("down n3") == 0 && n1.count("up n2") == 1));
-  // At another address, where nobody is.
+  // The new address has no listener.
   n1.links->setPeers({{"n3", parseAddress("127.0.0.1:1").value()}, n4.peer("n4")});
   CHECK_EQ(n1.count("down n3"), 1);
 }
--- a/tests/fleet_members_faults_test.cpp
+++ b/tests/fleet_members_faults_test.cpp
@@ -1,5 +1,5 @@
-// Single troubles among members on the drawn network: a stall, a deaf one, a mute one, a broken link, a liar,
-// a lost folder, two halves.
+// Tests of single faults on the simulated network: a stall, a relay that receives nothing, one that sends
+// nothing, a broken link, false gossip, a lost folder, and a partition.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -33,7 +33,7 @@
   }
 }
 
-// Says anything of anybody, in messages that are well made.
+// Sends well-formed messages with random contents about any relay.
 class Liar : public FleetNode {
  public:
   Liar(FleetPort& port, DrawnFleet& fleet) : port_(port), fleet_(fleet), nextMs_(port.nowMs()) {}
@@ -44,7 +44,7 @@
     const std::string payload = below(2) == 0
                                     ? encodeMembers(ping)
                                     : encodeMembers(PingReply{ping.number, below(2) == 0, 0, ping.updates});
-    // A reply and a question differ in length alone, so either may be read as the other, or refused.
+    // Replies and pings differ only in length, so either may be decoded as the other or refused.
     Ping q;
     const auto kind = decodeMembers(payload, q) ? FleetKind::kPing : FleetKind::kPingReply;
     const auto peers = port_.peers();
@@ -86,7 +86,7 @@
     const double fromMs = all.fleet.nowMs(), forMs = all.fleet.drawn(700, 10000);
     all.fleet.stall(1, forMs);
     all.fleet.runUntil(fromMs + forMs);
-    // The first call after the stall, whatever it is, says so.
+    // The first call after the stall must report it.
     bool asked = false;
     for (int i = 0; i < 50 && !asked; ++i) {
       all.fleet.runUntil(fromMs + forMs + 0.1 * i);
@@ -101,14 +101,14 @@
     }
     deaths += static_cast<int>(all.falseDeaths.size());
   }
-  CHECK(deaths > 0);  // long stalls are taken for deaths, and taken back
+  CHECK(deaths > 0);  // long stalls are reported as deaths, which are later refuted
 }
 
 TEST_CASE("a deaf one blames nobody; to the others it is dead, though it is heard") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     NetworkTraits traits;
-    traits.dropAfterMs = 1e9;  // the links stay up, so that only silence tells
+    traits.dropAfterMs = 1e9;  // keeps the links up, so that only silence shows the fault
     WatchedMembers all(5, seed, traits);
     all.startAll();
     REQUIRE(all.wellWithin(5000));
@@ -191,7 +191,7 @@
     for (const Folder folder : {Folder::kKept, Folder::kLost, Folder::kLost, Folder::kKept}) {
       all.fleet.crash(2, folder);
       all.fleet.runUntil(all.fleet.nowMs() + (seed % 2 == 0 ? 0 : 6000));
-      // One of the others has no link to it, and hears of it by news alone.
+      // Relay 0 has no link to it, and learns of it by gossip only.
       all.fleet.cut(0, 2);
       all.fleet.start(2);
       all.fleet.runUntil(all.fleet.nowMs() + 2000);
@@ -213,7 +213,7 @@
   all.fleet.runUntil(60000);
   for (int i = 2; i < 12; ++i) all.fleet.cut(i, 0);
   all.fleet.start(0);
-  // Until each has found the third that reaches it, it may be suspected, and denies it.
+  // Until each relay has found the helper that reaches it, it may be suspected, and refutes that.
   all.fleet.runUntil(90000);
   CHECK(all.falseDeaths.empty());
   all.falseSuspicions.clear();
@@ -223,7 +223,7 @@
     CHECK(viewOf(all, 0, i).state == MemberState::kAlive);
     CHECK(viewOf(all, i, 0).state == MemberState::kAlive);
   }
-  CHECK(all.at(0)->isCatchingUp());  // one link is not half of the fleet
+  CHECK(all.at(0)->isCatchingUp());  // one link is less than half of the fleet
 }
 
 TEST_CASE("two halves that could not reach each other are one again") {
@@ -242,5 +242,5 @@
   CHECK(all.at(0)->state("n" + std::to_string(kRelays - 1)) == MemberState::kDead);
   CHECK(all.at(0)->state("n1") == MemberState::kAlive);
   uncutAll(all);
-  CHECK(all.wellWithin(1000));  // each asks first whom it had given up
+  CHECK(all.wellWithin(1000));  // after the reconnection each relay first probes those it considered dead
 }
--- a/tests/fleet_members_laws_test.cpp
+++ b/tests/fleet_members_laws_test.cpp
@@ -1,5 +1,5 @@
-// What many members come to on a drawn network: the living are not called dead, the dead are found, and both
-// are agreed on again. Each run has its seed, and a failure names it.
+// Properties of many members on a simulated network: reachable live relays are not declared dead, crashed
+// ones are detected, and all relays agree again afterwards. A failure prints its seed.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -23,13 +23,14 @@
   return traits;
 }
 
-// From a crash to where all know: its turn with somebody, the span, the last question, and the news of it.
+// Upper bound from a crash until all relays know of it: the wait for a probe, the suspicion timeout, the last
+// probe, and the spread of the update.
 double boundMs(int relays, double suspicionTimeoutMs) {
   const MembersTuning tuning;
   return tuning.periodMs * (2.0 * relays + 6 * std::log2(relays + 1)) + 2 * suspicionTimeoutMs;
 }
 
-// Cuts and stalls that leave every two relays within reach of each other, for as long as `untilMs`.
+// Cuts links and stalls relays until `untilMs`, but keeps every two relays within reach of each other.
 void trouble(WatchedMembers& all, double untilMs, double longestStallMs) {
   DrawnFleet& fleet = all.fleet;
   const auto one = [&] { return static_cast<int>(fleet.drawn() % static_cast<std::uint64_t>(fleet.size())); };
@@ -76,7 +77,8 @@
     }
     suspicions += static_cast<int>(all.falseSuspicions.size());
 
-    // A crash amid the trouble that is left; only cuts may go, for a third may be the one that crashed.
+    // A crash while other effects remain. The cuts are removed first, as the only helper may be the crashed
+    // relay.
     for (int a = 0; a < relays; ++a) {
       for (int b = 0; b < relays; ++b) all.fleet.uncut(a, b);
     }
@@ -88,5 +90,5 @@
     CHECK(all.wellWithin(5000));
     CHECK(all.falseDeaths.empty());
   }
-  CHECK(suspicions > 0);  // else nothing was put to the test
+  CHECK(suspicions > 0);  // otherwise the faults had no effect
 }
--- a/tests/fleet_members_merge_test.cpp
+++ b/tests/fleet_members_merge_test.cpp
@@ -1,4 +1,4 @@
-// The merge of news and its laws, and the messages as bytes.
+// Tests of the merge of gossip updates and its algebraic properties, and of the encoding of messages.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -13,7 +13,7 @@
 
 namespace rc {
 
-// Few values, so that the same ones meet.
+// A small range of values, so that equal ones are frequent.
 template <>
 struct Arbitrary<GossipUpdate> {
   static Gen<GossipUpdate> arbitrary() {
@@ -36,7 +36,7 @@
 
 namespace {
 
-// What is believed, whatever the order in which it came in.
+// Returns the merged updates, sorted by life.
 std::vector<GossipUpdate> believed(const std::vector<GossipUpdate>& all) {
   std::vector<MemberIncarnation> incarnations;
   for (const GossipUpdate& n : all) mergeUpdate(incarnations, n);
--- a/tests/fleet_members_model_test.cpp
+++ b/tests/fleet_members_model_test.cpp
@@ -1,8 +1,9 @@
-// Three members, and every run of a stated kind: from each point of a run that is otherwise even, one cut of
-// each direction, or a crash, together with each single message lost or late.
+// Exhaustive test of three members: from each event of an otherwise undisturbed run, one link is cut in one
+// direction or one relay crashes, combined with the loss or delay of each single message.
 //
-// Claimed: none of these runs calls a relay dead that lives, for over the third it can be reached both ways;
-// and a crash is called dead by both others. Not claimed for two links cut, for there some pair has no third.
+// Property: no run declares a live relay dead, as it can be reached in both directions through the third; and
+// a crash is detected by both others. With two links cut the property does not hold, as some pair has no
+// helper.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -20,30 +21,30 @@
 enum class Fate : std::uint8_t { kLost, kOneTickLate, kThreeTicksLate };
 
 struct Fault {
-  int at = -1;            // before that event; -1: none
-  int from = 0, to = -1;  // cut; to -1: `from` crashes
+  int at = -1;            // the fault comes before this event; -1 for none
+  int from = 0, to = -1;  // link to cut; with `to` -1, `from` crashes
 };
 
-// A world that can be copied at any point.
+// Simulation state that can be copied at any event.
 struct World {
   struct Message {
     int from, to;
     FleetKind kind;
     std::string payload;
-    int ticks = 0;  // still to go before it comes
+    int ticks = 0;  // ticks until delivery
   };
   std::vector<Members> relays;
   std::vector<double> next;
   std::deque<Message> under;
   double now = 0;
   int crashed = -1, cutFrom = -1, cutTo = -1;
-  std::string wrong;  // the first false death
+  std::string wrong;  // first false report of a death
 
   static std::string name(int i) { return std::string(1, static_cast<char>('a' + i)); }
   static PeerIntroduction self(int i) { return {"f", name(i), "", {static_cast<std::uint64_t>(i) + 1, 1}}; }
 
   World() {
-    // As short as the order of things allows: what holds in two periods holds in more.
+    // The shortest timeout that keeps the order of events; longer ones only give more time.
     MembersTuning tuning;
     tuning.spanFactor = 1;
     for (int i = 0; i < 3; ++i) {
@@ -55,7 +56,7 @@
     }
     next.assign(3, 0);
     for (int i = 0; i < 3; ++i) {
-      now += 60;  // their periods begin apart
+      now += 60;  // offsets the periods of the relays
       take(i, relays[at(i)].onTick(now));
     }
     for (int i = 0; i < 3; ++i) {
@@ -87,8 +88,8 @@
       if (i != crashed) take(i, relays[at(i)].onLinkDown(now, name(crashed)));
     }
   }
-  // The next message, or where none is under way, the next tick. False: a fate was given, and there was no
-  // message.
+  // Delivers the next message or, if none is in flight, runs the next tick. Returns false if a fate was given
+  // and no message was ready.
   bool event(std::optional<Fate> fate) {
     const auto ready =
         std::find_if(under.begin(), under.end(), [](const Message& m) { return m.ticks == 0; });
@@ -135,7 +136,7 @@
   std::string first;
 };
 
-// To the end of the run, from after its last fault.
+// Runs the simulation from the last fault to its end.
 void finishRun(World world, int events, Tally& tally, const std::string& which) {
   const int most = events + (world.crashed < 0 ? kAfter : 10 * kAfter);
   for (int i = events; i < most && !(world.crashed >= 0 && world.crashFound()); ++i)
@@ -149,7 +150,7 @@
   if (world.crashed >= 0 && !world.crashFound()) ++tally.unfound;
 }
 
-// All runs with that fault before event i, and one fate at event j, for each i and j.
+// Runs all combinations of the fault before event i and one fate at event j.
 void allRuns(int from, int to, Tally& tally) {
   const World begin;
   const auto fateFrom = [&](World world, int i, bool struck, auto&& then) {
--- a/tests/fleet_members_news_test.cpp
+++ b/tests/fleet_members_news_test.cpp
@@ -1,4 +1,4 @@
-// One member by hand: what it takes of what others say, and what it does with nonsense.
+// Tests of a single member: which gossip it accepts, and how it treats invalid gossip.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -16,14 +16,15 @@
   one.hear("n2", update("n1", MemberState::kSuspect, 0, 1));
   CHECK(one.members.ownDenial() == 1);
   CHECK(!one.members.isCatchingUp());
-  one.hear("n2", update("n1", MemberState::kSuspect, 0, 1));  // denied already
+  one.hear("n2", update("n1", MemberState::kSuspect, 0, 1));  // already refuted
   CHECK(one.members.ownDenial() == 1);
-  one.hear("n2", update("n1", MemberState::kDead, 4, 1));  // forged, for nobody has heard of so many denials
+  one.hear("n2",
+           update("n1", MemberState::kDead, 4, 1));  // forged: this member never raised its denial so far
   CHECK(one.members.ownDenial() == 5);
   CHECK(one.members.isCatchingUp());
   one.hear("n2", update("n1", MemberState::kDead, std::uint64_t{1} << 40, 1));
   one.hear("n2", update("n1", MemberState::kDead, kMaxDenial, 1));
-  one.hear("n2", update("n1", MemberState::kDead, 5, 2));  // another life
+  one.hear("n2", update("n1", MemberState::kDead, 5, 2));  // another `life`
   one.hear("n2", update("n1", MemberState::kDead, 5, 1, 9));
   CHECK(one.members.ownDenial() == 5);
 }
@@ -34,12 +35,12 @@
   one.take(one.members.onLinkUp(one.now, introduction("n3", 7, 4)));
   one.hear("n3", update("n3", MemberState::kAlive, 3, 7, 4));
   one.changes.clear();
-  one.hear("n2", update("n3", MemberState::kDead, 9, 7, 3));        // an older start
-  one.hear("n2", update("n3", MemberState::kSuspect, 2, 7, 4));     // denied
-  one.hear("n2", update("n3", MemberState::kDead, 1 << 20, 7, 4));  // nobody denies so often
-  one.hear("n2", update("n3", MemberState::kDead, 0, 7, 5));        // a start that its link knows nothing of
-  one.hear("n2", update("n9", MemberState::kAlive));                // not of the peers
-  one.hear("n2", update("n2", MemberState::kDead, 7));              // nobody says so of itself
+  one.hear("n2", update("n3", MemberState::kDead, 9, 7, 3));        // an older run
+  one.hear("n2", update("n3", MemberState::kSuspect, 2, 7, 4));     // already refuted
+  one.hear("n2", update("n3", MemberState::kDead, 1 << 20, 7, 4));  // exceeds kMaxDenialJump
+  one.hear("n2", update("n3", MemberState::kDead, 0, 7, 5));        // a run other than that of the link
+  one.hear("n2", update("n9", MemberState::kAlive));                // not a peer
+  one.hear("n2", update("n2", MemberState::kDead, 7));              // a relay reports itself only as alive
   one.hear("n2", update("n3", static_cast<MemberState>(7), 3, 7, 4));
   one.take(one.members.onPing(one.now, "n9", {1, "", "", {update("n3", MemberState::kSuspect, 3, 7, 4)}}));
   CHECK(one.sends.empty());
@@ -105,7 +106,7 @@
   one.take(one.members.onLinkUp(one.now, introduction("n3", 7)));
   CHECK(one.view("n3").incarnation == Incarnation{7, 1});
   CHECK(one.members.state("n3") == MemberState::kAlive);
-  // Without a link: one that is not dead.
+  // Without a link, the life that is not dead is the current one.
   one.take(one.members.onLinkDown(one.now, "n3"));
   CHECK(one.view("n3").incarnation == Incarnation{7, 1});
   one.hear("n2", update("n3", MemberState::kDead, 1, 7));
--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -1,5 +1,5 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-// One member by hand: what it asks, and what silence, stalls and cuts come to.
+// Tests of a single member: its pings, and its reactions to silence, stalls and broken links.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -35,7 +35,7 @@
     one.take(one.members.onLinkUp(one.now, introduction("n3", 5, 1)));
     CHECK(one.members.state("n3") == MemberState::kAlive);
     CHECK(one.view("n3").incarnation == Incarnation{5, 1});
-    // What is told of the folder that is lost is not about it.
+    // Updates about the lost folder do not apply to the new one.
     one.hear("n2", update("n3", MemberState::kDead, 9, 7, 2));
     CHECK(one.members.state("n3") == MemberState::kAlive);
   }
@@ -120,7 +120,7 @@
   one.take(one.members.onTick(one.now));
   CHECK(one.changes.empty());
   CHECK(one.members.isCatchingUp());
-  // A reply to what was asked before the stall says nothing of now.
+  // A reply to a ping sent before the stall does not count.
   one.take(one.members.onReply(one.now, "n2", {1, true, 0, {}}));
   one.take(one.members.onReply(one.now, "n4", {1, true, 0, {}}));
   CHECK(one.members.isCatchingUp());
--- a/tests/fleet_processes_test.cpp
+++ b/tests/fleet_processes_test.cpp
@@ -1,4 +1,4 @@
-// The real program: several of them that find each other, and one that has no fleet.
+// Tests with processes of the real program: several that form a fleet, and one without a fleet.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -33,7 +33,7 @@
   std::string folder;
 };
 
-// One relay's folder, files and process.
+// Folder, files and process of one relay.
 struct Member {
   Member(Hub& hub, const std::string& folder, const std::string& relay, bool inFleet)
       : name(relay), path(folder + "/" + relay), file(path + "/operator.toml") {
@@ -57,7 +57,7 @@
   }
   std::string listed() const { return name + "=" + address; }
   void learnAddress() {
-    const std::string words = "are taken at ";
+    const std::string words = "accepting relays of fleet 'vina' at ";
     const std::size_t from = program->log().find(words) + words.size();
     address = program->log().substr(from, program->log().find('\n', from) - from);
   }
@@ -104,11 +104,11 @@
     REQUIRE(hub.run([&] { return member->program->ready(); }, kPatienceMs));
   }
   CHECK(without.count("fleet") == 0);
-  REQUIRE(hub.run([&] { return with.count("are taken at ") == 1; }, kPatienceMs));
+  REQUIRE(hub.run([&] { return with.count("accepting relays of fleet 'vina' at ") == 1; }, kPatienceMs));
   const Held less = heldBy(without), more = heldBy(with);
   CHECK_EQ(less.listeners, 1);
   CHECK_EQ(less.files.count("incarnation"), 0);
-  // And this sees them where they are: the one is the other and no more than that.
+  // Verifies that the measurement detects them: the relay with a fleet differs by exactly these.
   CHECK_EQ(more.listeners, 2);
   CHECK_EQ(more.descriptors, less.descriptors + 1);
   CHECK_EQ(more.threads, less.threads);
@@ -119,7 +119,7 @@
 
 namespace {
 
-// Three of them that know each other, and were told so by SIGHUP.
+// Three relays that received the addresses of their peers by SIGHUP.
 struct Fleet {
   Fleet() {
     for (const char* name : {"n1", "n2", "n3"}) {
@@ -138,8 +138,8 @@
     for (const auto& a : all)
       for (const auto& b : all) {
         if (a == b) continue;
-        REQUIRE(says(*a, "fleet: linked to " + b->name + ", start 1"));
-        REQUIRE(says(*a, "fleet: " + b->name + " is alive, start 1"));
+        REQUIRE(says(*a, "fleet: link established to " + b->name + " (run 1)"));
+        REQUIRE(says(*a, "fleet: " + b->name + " is alive, run 1"));
       }
   }
   bool says(const Member& member, const std::string& words, std::size_t times = 1) {
@@ -159,12 +159,12 @@
   n3.program->kill();
   for (Member* left : {&n1, &n2}) {
     CHECK(fleet.says(*left, "fleet: the link to n3 is down"));
-    CHECK(fleet.says(*left, "fleet: n3 is dead, start 1 of its life"));
+    CHECK(fleet.says(*left, "fleet: n3 is dead, run 1 (was "));
   }
   n3.program->start();
   for (Member* left : {&n1, &n2}) {
-    CHECK(fleet.says(*left, "fleet: linked to n3, start 2 of its life"));
-    CHECK(fleet.says(*left, "fleet: n3 is alive, start 2 of its life"));
+    CHECK(fleet.says(*left, "fleet: link established to n3 (run 2)"));
+    CHECK(fleet.says(*left, "fleet: n3 is alive, run 2 (was "));
   }
   CHECK_EQ(n1.count("fleet: the link to n2 is down"), 0);
 
@@ -175,22 +175,22 @@
   n1.program->signal(SIGUSR1);
   CHECK(fleet.says(n1, "counters fleet: peers=2 up=2"));
 
-  // n3 is taken off n1's list, and refused there.
+  // n3 is removed from the list of n1, which then refuses it.
   n1.writePeers({n2.listed()});
   n1.program->signal(SIGHUP);
-  CHECK(fleet.says(n1, "closed a link to one that did not say who it is: unknown-name (told once)"));
+  CHECK(fleet.says(n1, "closed a link to an unidentified peer: unknown-name (logged once)"));
   CHECK_EQ(n1.count("fleet: the link to n3 is down"), 2);
 }
 
 TEST_CASE("one that stood still is called dead, and asks what it missed when it wakes") {
   Fleet fleet;
   Member &n1 = *fleet.all[0], &n2 = *fleet.all[1], &n3 = *fleet.all[2];
-  const std::size_t caughtUp = n3.count("fleet: heard of more than half");
+  const std::size_t caughtUp = n3.count("fleet: caught up, with replies from more than half");
   n3.program->signal(SIGSTOP);
-  for (Member* left : {&n1, &n2}) CHECK(fleet.says(*left, "fleet: n3 is dead, start 1"));
+  for (Member* left : {&n1, &n2}) CHECK(fleet.says(*left, "fleet: n3 is dead, run 1"));
   n3.program->signal(SIGCONT);
-  CHECK(fleet.says(n3, "fleet: this process stood still for"));
-  CHECK(fleet.says(n3, "fleet: asking what was missed"));
-  CHECK(fleet.says(n3, "fleet: heard of more than half", caughtUp + 1));
-  for (Member* left : {&n1, &n2}) CHECK(fleet.says(*left, "fleet: n3 is alive, start 1", 2));
+  CHECK(fleet.says(n3, "fleet: this process did not run for"));
+  CHECK(fleet.says(n3, "fleet: catching up with the other relays"));
+  CHECK(fleet.says(n3, "fleet: caught up, with replies from more than half", caughtUp + 1));
+  for (Member* left : {&n1, &n2}) CHECK(fleet.says(*left, "fleet: n3 is alive, run 1", 2));
 }
--- a/tests/fleet_refusals_test.cpp
+++ b/tests/fleet_refusals_test.cpp
@@ -1,4 +1,5 @@
-// What a link does not put up with: each is closed, counted and told once, and the good peer's messages flow.
+// Tests of refusals: each faulty link is closed, counted and logged once, while messages of a correct peer
+// are still delivered.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -12,7 +13,7 @@
 
 const PeerIntroduction kBadPeer{"vina", "n3", "sur", {9, 4}};
 
-// n1 is under test, n2 is a good peer, n3 in its list is what the test makes of it.
+// n1 is the relay under test, n2 a correct peer, and n3 a listed peer that each test plays itself.
 struct Town : FleetSite {
   explicit Town(LinkTuning tuning = FleetSite::tuning())
       : n1(loop, "n1", tuning), n2(loop, "n2", FleetSite::tuning()) {
@@ -27,7 +28,7 @@
     CHECK(until([&] { return !n1.got["n2"].empty() && n1.got["n2"].back().second == text; }));
     CHECK((n1.count("down n2") == 0 && n2.count("down n1") == 0));
   }
-  // Twice, so that the second time is seen not to be told again.
+  // Refuses two connections, to verify that the second one is not logged again.
   void refuses(LinkEnd end, const std::string& who, const std::function<void(RawPeer&)>& script) {
     CAPTURE(std::string(nameOf(end)));
     const std::uint64_t before = n1.ends(end), refused = n1.links->figures().refused;
@@ -42,7 +43,7 @@
       raws.clear();
       checkGoodPeer();
     }
-    const std::string line = "closed a link to " + who + ": " + nameOf(end) + " (told once)";
+    const std::string line = "closed a link to " + who + ": " + nameOf(end) + " (logged once)";
     const std::size_t at = n1.log.str().find(line);
     CHECK(at != std::string::npos);
     CHECK(n1.log.str().find(line, at + 1) == std::string::npos);
@@ -53,7 +54,7 @@
   int said = 0;
 };
 
-constexpr const char* kNobody = "one that did not say who it is";
+constexpr const char* kNobody = "an unidentified peer";
 
 }  // namespace
 
@@ -89,14 +90,14 @@
   REQUIRE(town.until([&] { return town.n1.links->up("n3"); }));
   town.refuses(LinkEnd::kOlder, "n3", [](RawPeer& raw) { raw.hello({"vina", "n3", "", {9, 3}}); });
   CHECK_EQ(town.n1.count("down n3"), 0);
-  // A later start is the same relay, started again.
+  // A later run is the same relay after a restart.
   RawPeer again(town.n1.links->listening());
   again.hello({"vina", "n3", "", {9, 5}});
   town.raws = {&again, &n3};
   CHECK(town.until([&] { return town.n1.count("up n3") == 2 && n3.closed; }));
   CHECK((town.n1.last["n3"].incarnation == Incarnation{9, 5}));
   town.raws.clear();
-  // Not even with no link in the way.
+  // An earlier run is refused even if no link is up.
   again.fd.reset();
   CHECK(town.until([&] { return town.n1.count("down n3") == 2; }));
   town.refuses(LinkEnd::kOlder, "n3", [](RawPeer& raw) { raw.hello({"vina", "n3", "", {9, 4}}); });
@@ -106,7 +107,7 @@
   LinkTuning tuning = FleetSite::tuning();
   tuning.framesPerS = 2000;
   Town town(tuning);
-  std::uint64_t start = 0;  // each a later one, so that the last link is not in the way
+  std::uint64_t start = 0;  // increases with each connection, so that it replaces the previous link
   const auto then = [&](const std::string& bytes) {
     return [&, bytes](RawPeer& raw) {
       raw.hello({"vina", "n3", "sur", {9, ++start}});
@@ -137,13 +138,13 @@
   raw.hello(kBadPeer);
   raw.say(flood);
   town.raws = {&raw};
-  // What n2 says while the flood comes in is heard before the flood is over.
+  // A message of n2 must arrive before the flood ends.
   REQUIRE(town.until([&] { return town.n1.got["n3"].size() > 20; }));
   town.checkGoodPeer();
   CHECK_EQ(town.n1.ends(LinkEnd::kFlood), 0);
   CHECK(town.until([&] { return raw.closed; }));
   CHECK_EQ(town.n1.ends(LinkEnd::kFlood), 1);
-  CHECK_EQ(town.n1.got["n3"].size(), 2000 - 1);  // with its hello
+  CHECK_EQ(town.n1.got["n3"].size(), 2000 - 1);  // the hello counts as a frame
 }
 
 TEST_CASE("connections that do not introduce themselves keep nobody out") {
@@ -156,7 +157,7 @@
   n3.hello(kBadPeer);
   town.raws = {&n3};
   CHECK(town.until([&] { return town.n1.links->up("n3"); }));
-  CHECK(town.until([&] { return town.n1.ends(LinkEnd::kNoHello) > 0; }));  // those left have their time only
+  CHECK(town.until([&] { return town.n1.ends(LinkEnd::kNoHello) > 0; }));  // the remaining ones time out
   town.checkGoodPeer();
 }
 
@@ -168,7 +169,7 @@
   town.raws = {&raw};
   REQUIRE(town.until([&] { return town.n1.links->up("n3"); }));
   const std::string payload(32 * 1024, 'x');
-  // Until the kernel takes no more and the queue is full: from then on each is refused at once.
+  // Sends until the buffers of the kernel and the queue are full; from then on every send is refused at once.
   REQUIRE(town.until([&] {
     while (town.n1.links->send("n3", FleetKind::kCopy, payload)) {
     }
--- a/tests/fleet_site.h
+++ b/tests/fleet_site.h
@@ -1,4 +1,4 @@
-// Relays' links on one loop, and a peer that is a bare socket with a script.
+// Links of several relays on one event loop, and a scripted peer on a bare socket.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 namespace myrtleloft {
 
-// One relay's links, and what its packages were told.
+// Links of one relay, with a record of the calls to its sink.
 struct LinkedRelay : PeerSink {
   LinkedRelay(Loop& loop, const std::string& name, LinkTuning tuning, Incarnation incarnation = {5, 1},
               const std::string& listen = "127.0.0.1:0")
@@ -35,7 +35,7 @@
   }
   void onPeerDown(const std::string& peer) override { told.push_back("down " + peer); }
   bool onPeerMessage(const std::string& peer, FleetKind kind, std::string_view payload) override {
-    if (kind == FleetKind::kAudit) return false;  // as a package that cannot read it
+    if (kind == FleetKind::kAudit) return false;  // plays a package that cannot decode the payload
     got[peer].emplace_back(kind, std::string(payload));
     return true;
   }
@@ -59,7 +59,7 @@
   std::unique_ptr<Links> links;
 };
 
-// A socket that says what it is told to.
+// A socket that sends the bytes that the test gives it.
 struct RawPeer {
   explicit RawPeer(const std::string& address) : fd(connectTo(parseAddress(address).value())) {}
   explicit RawPeer(Fd accepted) : fd(std::move(accepted)) {}
@@ -83,14 +83,14 @@
   bool reads = true, closed = false;
 };
 
-// The real one, and as much as a test puts on top.
+// The real clock plus an offset that the test sets.
 struct SkippingClock : Clock {
   double steadyMs() const override { return Clock::steadyMs() + skippedMs; }
   double skippedMs = 0;
 };
 
 struct FleetSite {
-  // Spans short enough for a test to wait for, and long ones where nothing may fall due.
+  // Short timeouts for those that tests wait for, and long ones for those that must not expire.
   static LinkTuning tuning() {
     LinkTuning t;
     t.helloMs = 300;
@@ -105,7 +105,7 @@
     t.gapMs = 60e3;
     return t;
   }
-  // false: not done within the patience.
+  // Returns false if `done` is not true within 20 s.
   template <typename Done>
   bool until(Done&& done) {
     const double endMs = clock.steadyMs() + 20e3;
--- a/tests/fleet_spans_test.cpp
+++ b/tests/fleet_spans_test.cpp
@@ -1,4 +1,5 @@
-// What a link's age and a stall of the own process change; the clock is moved by hand.
+// Tests of how the age of a link, and a stall of the own process, affect links; the clock is advanced by
+// hand.
 #include <doctest/doctest.h>
 
 #include <memory>
@@ -12,7 +13,7 @@
 
 const PeerIntroduction kN2{"vina", "n2", "", {3, 1}};
 
-// n1, which has dialled a script that says it is n2.
+// n1 has dialled a scripted peer that introduces itself as n2.
 struct Dialled : FleetSite {
   explicit Dialled(const LinkTuning& tuning) : n1(loop, "n1", tuning) {
     std::string error;
@@ -65,13 +66,13 @@
   const std::string half = frameOf(FleetKind::kCopy, "two halves");
   site.n2->say(half.substr(0, 28));
   REQUIRE(site.until([&] { return site.n2->out.empty() && site.n2->in.size() > 2 * kFrameHeaderBytes; }));
-  site.clock.skippedMs += 60e3;  // more than a gap
+  site.clock.skippedMs += 60e3;  // longer than gapMs
   int turns = 0;
   site.until([&] { return ++turns > 20; });
   CHECK(site.n1.links->up("n2"));
   site.n2->say(half.substr(28));
   CHECK(site.until([&] { return site.n1.got["n2"].size() == 1; }));
-  // No gap: what is due is due.
+  // Without a gap the timeout applies.
   site.n1.links->send("n2", FleetKind::kPing, "and now");
   site.clock.skippedMs += 35e3;
   CHECK(site.until([&] { return site.n1.ends(LinkEnd::kSilent) == 1; }));
