--- a/src/copies/copies.h
+++ b/src/copies/copies.h
@@ -53,7 +53,7 @@
 
 struct ReplicationMember {
   std::string name;
-  Standing standing = Standing::kUnknown;
+  MemberState standing = MemberState::kUnknown;
   Incarnation incarnation;
   std::string building;
   double freeCapacity = 1;
--- a/src/copies/copies_tick.cpp
+++ b/src/copies/copies_tick.cpp
@@ -109,7 +109,7 @@
   const auto at = members_.find(replica.name);
   if (at == members_.end()) return true;  // unknown since this relay started
   const ReplicationMember& member = at->second;
-  return member.standing != Standing::kDead &&
+  return member.standing != MemberState::kDead &&
          (member.incarnation.life == 0 || member.incarnation.life == replica.life);
 }
 
@@ -125,7 +125,7 @@
     const auto in = [&](const std::vector<RelayId>& list) {
       return std::find(list.begin(), list.end(), relay) != list.end();
     };
-    if (member.standing != Standing::kAlive || relay.life == 0 || in(chosen) || in(full)) continue;
+    if (member.standing != MemberState::kAlive || relay.life == 0 || in(chosen) || in(full)) continue;
     if (ledger && ledger->isFull(relay)) continue;
     candidates.push_back({relay, member.building, member.freeCapacity});
   }
@@ -162,8 +162,8 @@
   const auto at = members_.find(state.owner);
   if (at == members_.end()) return false;
   const ReplicationMember& member = at->second;
-  return member.standing == Standing::kDead ||
-         (member.standing == Standing::kAlive && member.incarnation.life != 0 &&
+  return member.standing == MemberState::kDead ||
+         (member.standing == MemberState::kAlive && member.incarnation.life != 0 &&
           member.incarnation.life != state.start.life);
 }
 
@@ -178,7 +178,7 @@
     const double since = ownerGoneSinceMs_.try_emplace(id, nowMs).first->second;
     std::vector<RelayId> living{{setup_.name, setup_.self.life}};
     for (const auto& [name, member] : members_)
-      if (member.standing == Standing::kAlive) living.push_back({name, member.incarnation.life});
+      if (member.standing == MemberState::kAlive) living.push_back({name, member.incarnation.life});
     const auto order = takeoverOrder(id, configRegister.value.ensemble, std::move(living));
     const auto rank = std::find(order.begin(), order.end(), setup_.name) - order.begin();
     if (nowMs - since < static_cast<double>(rank) * setup_.takeoverStepMs) continue;
--- a/src/copies/messages.h
+++ b/src/copies/messages.h
@@ -20,8 +20,8 @@
 inline constexpr std::size_t kMaxNameBytes = 64;
 inline constexpr std::size_t kMaxReplicas = 8;
 inline constexpr std::size_t kMaxRelays = 128;
-// A message is sent once its records reach this size. Leaves space in kMostFleetPayload for the header and
-// one further record with the largest body (64 KiB).
+// A message is sent once its records reach this size. Leaves space in kMaxFleetPayloadBytes for the header
+// and one further record with the largest body (64 KiB).
 inline constexpr std::size_t kMessageBytes = 32 * 1024;
 
 enum class RequestPhase : std::uint8_t { kPrepare, kAccept, kJoin };
--- a/src/fleet/link.cpp
+++ b/src/fleet/link.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::size_t kWriteChunkBytes = 64 * 1024;
 constexpr int kKernelBytes = 256 * 1024, kUnsentBytes = 64 * 1024;
-// A machine that is gone sends nothing, not even that: it shows here after 5 + 3 x 1 s on a link at rest.
+// TCP keepalive detects a lost machine on an idle link after 5 + 3 x 1 s.
 constexpr int kIdleS = 5, kProbeS = 1, kProbes = 3;
 
-void set(const Fd& fd, int level, int name, int value) {
+void setOption(const Fd& fd, int level, int name, int value) {
   ::setsockopt(fd.get(), level, name, &value, sizeof value);
 }
 
@@ -59,14 +59,14 @@
                        : Phase::kIntroducing),
       beganMs_(loop.nowMs()) {
   if (!fd_) return;
-  reader_.allow(kMostHelloPayload);
-  set(fd_, SOL_SOCKET, SO_SNDBUF, kKernelBytes);
-  set(fd_, SOL_SOCKET, SO_RCVBUF, kKernelBytes);
-  set(fd_, SOL_SOCKET, SO_KEEPALIVE, 1);
-  set(fd_, IPPROTO_TCP, TCP_KEEPIDLE, kIdleS);
-  set(fd_, IPPROTO_TCP, TCP_KEEPINTVL, kProbeS);
-  set(fd_, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
-  set(fd_, IPPROTO_TCP, TCP_NOTSENT_LOWAT, kUnsentBytes);
+  reader_.allow(kMaxHelloPayloadBytes);
+  setOption(fd_, SOL_SOCKET, SO_SNDBUF, kKernelBytes);
+  setOption(fd_, SOL_SOCKET, SO_RCVBUF, kKernelBytes);
+  setOption(fd_, SOL_SOCKET, SO_KEEPALIVE, 1);
+  setOption(fd_, IPPROTO_TCP, TCP_KEEPIDLE, kIdleS);
+  setOption(fd_, IPPROTO_TCP, TCP_KEEPINTVL, kProbeS);
+  setOption(fd_, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+  setOption(fd_, IPPROTO_TCP, TCP_NOTSENT_LOWAT, kUnsentBytes);
   loop_.watch(fd_.get(), dialled ? POLLOUT : POLLIN, [this](short revents) { onEvents(revents); });
 }
 
@@ -86,35 +86,37 @@
 void Link::comeUp() {
   phase_ = Phase::kUp;
   beganMs_ = loop_.nowMs();
-  reader_.allow(kMostFleetPayload);
+  reader_.allow(kMaxFleetPayloadBytes);
 }
 
 void Link::queue(Lane lane, FleetKind kind, std::string_view payload) {
   if (phase_ == Phase::kClosed) return;
   const double now = loop_.nowMs();
   if (!writing()) writeSinceMs_ = now;
-  if (kind == FleetKind::kQuestion && askedMs_ == 0) askedMs_ = now;
+  if (kind == FleetKind::kPing && pingSentMs_ == 0) pingSentMs_ = now;
   std::string frame = frameOf(kind, payload);
   bytes_[static_cast<int>(lane)] += frame.size();
   lanes_[static_cast<int>(lane)].push_back(std::move(frame));
-  if (phase_ != Phase::kConnecting) wanted();
+  if (phase_ != Phase::kConnecting) updatePollEvents();
 }
 
 LinkEnd Link::overdue() const {
   const double now = loop_.nowMs();
-  const auto longer = [now](double sinceMs, double mostMs) { return sinceMs > 0 && now - sinceMs > mostMs; };
+  const auto longer = [now](double sinceMs, double limitMs) {
+    return sinceMs > 0 && now - sinceMs > limitMs;
+  };
   if (phase_ == Phase::kConnecting && longer(beganMs_, tuning_.helloMs)) return LinkEnd::kUnreachable;
   if (phase_ == Phase::kIntroducing && longer(beganMs_, tuning_.helloMs))
     return reader_.midFrame() ? LinkEnd::kTorn : LinkEnd::kNoHello;
   if (phase_ != Phase::kUp) return LinkEnd::kClosed;
-  if (longer(frameSinceMs_, tuning_.tornMs)) return LinkEnd::kTorn;
+  if (longer(frameSinceMs_, tuning_.frameTimeoutMs)) return LinkEnd::kTorn;
   if (writing() && longer(writeSinceMs_, tuning_.stallMs)) return LinkEnd::kStalled;
-  return longer(askedMs_, tuning_.silentMs) ? LinkEnd::kSilent : LinkEnd::kClosed;
+  return longer(pingSentMs_, tuning_.silenceTimeoutMs) ? LinkEnd::kSilent : LinkEnd::kClosed;
 }
 
-void Link::forgive() {
+void Link::restartTimeouts() {
   const double now = loop_.nowMs();
-  for (double* since : {&frameSinceMs_, &writeSinceMs_, &askedMs_})
+  for (double* since : {&frameSinceMs_, &writeSinceMs_, &pingSentMs_})
     if (*since > 0) *since = now;
   if (phase_ != Phase::kUp) beganMs_ = now;
 }
@@ -125,7 +127,7 @@
     phase_ = Phase::kIntroducing;
     beganMs_ = loop_.nowMs();
     owner_.onConnected(*this);
-    if (fd_) wanted();
+    if (fd_) updatePollEvents();
     return;
   }
   if (revents & (POLLIN | POLLHUP | POLLERR)) read();
@@ -140,7 +142,7 @@
     if (io == Io::kWouldBlock) return;
     if (io != Io::kProgress) return end(LinkEnd::kClosed);
     left -= std::min(left, buffer.size() - before);
-    askedMs_ = 0;
+    pingSentMs_ = 0;
     if (!deliver()) return;
   }
 }
@@ -182,10 +184,10 @@
   if (io == Io::kFailed) return end(LinkEnd::kClosed);
   if (written_ > before) writeSinceMs_ = loop_.nowMs();
   if (written_ < out_.size()) return;
-  std::string().swap(out_);  // idle links keep no room
+  std::string().swap(out_);  // frees the memory of idle links
   written_ = 0;
   for (int i = 0; i < 2; ++i) bytes_[i] -= std::exchange(outBytes_[i], 0);
-  wanted();
+  updatePollEvents();
   owner_.onWritten(*this);
 }
 
--- a/src/fleet/members.h
+++ b/src/fleet/members.h
@@ -1,19 +1,19 @@
-// Which relays of the fleet are there: decided without I/O, time and random numbers passed in. In the manner
-// of SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's care for an own stall (Dadgar, Phillips, Currey,
-// 2018), on a list of peers that the operator wrote. docs/design/fleet-membership.md says why.
+// Decides which relays of the fleet are alive, without I/O; time and random numbers are passed in. Based on
+// SWIM (Das, Gupta, Motivala, 2002) with the local health of Lifeguard (Dadgar, Phillips, Currey, 2018), for
+// a list of peers that the operator wrote. docs/design/fleet-membership.md gives the reasons.
 //
 //   Members members(tuning, {"fleet", "n1", "b1", incarnation}, {"n2", "n3"}, seed);
-//   Members::Step step = members.onTick(nowMs);                 // at least by `step.nextMs`, the first at
-//   once for (MemberSend& s : step.sends) links.send(s.to, s.kind, std::move(s.payload));  // lost: no harm
+//   Members::Step step = members.onTick(nowMs);  // at once, and again at the latest at `step.nextMs`
+//   for (MemberSend& s : step.sends) links.send(s.to, s.kind, std::move(s.payload));  // a send may fail
 //   for (MemberChange& c : step.changes) ...
 //   step = members.onLinkUp(nowMs, introduction);
-//   if (!members.onMessage(nowMs, peer, kind, payload, step)) ...  // no such message; nothing was taken
+//   if (!members.onMessage(nowMs, peer, kind, payload, step)) ...  // not valid; nothing was applied
 //
-// Every call gives a step, and each step's `nextMs` replaces the one before. nowMs: a steady clock's, never
-// going back. One thread; a call takes O(peers) at most; memory O(peers).
+// Every call returns a step, whose `nextMs` replaces the previous one. nowMs is the time of a monotonic
+// clock. Single-threaded; a call takes O(peers) time, and memory is O(peers).
 //
-// What a standing means: it is a guess from silence, and nobody may act for another on it alone. It may only
-// start a takeover, which succeeds by the fence at the holders (docs/design/copies.md).
+// A member state is inferred from silence, so no relay may act for another on it alone. It may only start a
+// takeover, which succeeds by fencing the holders of the copies (docs/design/copies.md).
 #pragma once
 
 #include <cstdint>
@@ -28,18 +28,19 @@
 
 namespace myrtleloft {
 
-// The constants' source: what a machine that is lost with its disk may cost, 3 s in all, of which the span
-// for three relays takes six periods; and what a loop that is busy, but lives, takes to reply.
+// The defaults follow from two bounds: losing a machine with its disk may cost 3 s in all, of which the
+// suspicion timeout for three relays takes six periods; and a busy but live event loop must have time to
+// reply.
 struct MembersTuning {
-  double periodMs = 200;     // one question of its own each
-  double replyMs = 60;       // for a reply; through a third three times as long in all. At most periodMs / 3
-  int thirds = 3;            // asked where there was no reply
-  int spanFactor = 3;        // a suspicion lasts this many periods for each doubling of the fleet
-  int spreadFactor = 3;      // news is spread this many times for each doubling
-  int fresh = 6, known = 2;  // news of a message beside the sender's own and the addressee's
-  double stallMs = 400;      // a call later than this after it was due: the own process stood still
-  int mostHealth = 4;        // own trouble stretches waits up to 1 + this many times
-  int catchUp = 8;           // further questions a period while catching up
+  double periodMs = 200;  // each period has one probe
+  double replyMs = 60;    // timeout of a direct ping; with helpers three times as long. At most periodMs / 3
+  int helpers = 3;        // number of helpers asked if there was no reply
+  int spanFactor = 3;     // the suspicion timeout is this many periods for each doubling of the fleet
+  int spreadFactor = 3;   // an update is sent this many times for each doubling
+  int fresh = 6, known = 2;  // updates of a message, besides those about its sender and receiver
+  double stallMs = 400;      // a call delayed by more than this means that this process stalled
+  int maxHealth = 4;         // timeouts are multiplied by up to 1 + this
+  int catchUp = 8;           // additional pings in a period while catching up
 };
 
 struct MemberSend {
@@ -48,11 +49,11 @@
   std::string payload;
 };
 
-// Another standing, or the same one of a new incarnation.
+// A new state of a peer, or the same state of a new incarnation.
 struct MemberChange {
   std::string name;
   Incarnation incarnation;
-  Standing was, is;
+  MemberState was, is;
 };
 
 struct MemberView {
@@ -60,9 +61,10 @@
   std::string building;
   Incarnation incarnation;
   std::uint64_t denial = 0;
-  Standing standing = Standing::kUnknown;
+  MemberState state = MemberState::kUnknown;
   bool linked = false;
-  // A one-way cut: `hears` is kYes and `heard` false, or the other way about. As of its last turn.
+  // A link broken in one direction shows as `hears` kYes with `heard` false, or the reverse. Updated when the
+  // peer is probed.
   bool heard = false;
   Hears hears = Hears::kNotKnown;
 };
@@ -78,30 +80,31 @@
   Members(const MembersTuning& tuning, PeerIntroduction own, const std::vector<std::string>& peers,
           std::uint64_t seed);
 
-  // From `[fleet] peers`: without the own name. Those that stay keep what is known of them.
+  // Takes `[fleet] peers`, without this relay. Peers that remain in the list keep their state.
   Step setPeers(double nowMs, const std::vector<std::string>& peers);
   Step onTick(double nowMs);
-  // An older start of a life than one that introduced itself before is as if it had no link (`refuses`).
+  // An earlier run than one that introduced itself before is treated as having no link (see `refuses`).
   Step onLinkUp(double nowMs, const PeerIntroduction& peer);
   Step onLinkDown(double nowMs, const std::string& peer);
-  // From a peer without a link, or not of the peers: nothing is taken.
-  Step onQuestion(double nowMs, const std::string& from, const MemberQuestion& question);
-  Step onReply(double nowMs, const std::string& from, const MemberReply& reply);
-  // kQuestion or kReply. false: the payload is of neither; nothing was taken, and `step` is as it was.
+  // Messages of unknown peers, or of peers without a link, are ignored.
+  Step onPing(double nowMs, const std::string& from, const Ping& ping);
+  Step onReply(double nowMs, const std::string& from, const PingReply& reply);
+  // Handles kPing and kPingReply. Returns false, leaving `step` unchanged, if the payload is neither.
   bool onMessage(double nowMs, const std::string& from, FleetKind kind, std::string_view payload, Step& step);
 
   std::vector<MemberView> all() const;
-  Standing standing(const std::string& name) const;
-  // Whether the links should close what introduces itself so: unknown, or older than one before it.
+  MemberState state(const std::string& name) const;
+  // Whether the links should close a connection with this introduction: its peer is unknown or its run is
+  // outdated.
   bool refuses(const PeerIntroduction& peer) const;
-  // Catching up: since its start, since a stall, after a span without any reply, or after it was called dead,
-  // it has not yet had replies from so many peers that they and itself are more than half of the fleet. What
-  // it owes may have been taken over: it must ask before it acts.
-  bool mustAsk() const { return catchingUp_; }
+  // Whether this relay is catching up: after its start, a stall, a suspicion timeout without any reply, or
+  // its own death being announced, until it has replies from so many peers that together with itself they are
+  // more than half of the fleet. Others may have taken over its pending work, so it must ask before it acts.
+  bool isCatchingUp() const { return catchingUp_; }
   std::uint64_t ownDenial() const { return denial_; }
-  int health() const { return health_; }  // 0: well
-  // How long a suspicion lasts at least, in ms, the own process being well.
-  double spanMs() const;
+  int health() const { return health_; }  // 0 is healthy
+  // Shortest suspicion timeout in ms, which applies while this process is healthy.
+  double suspicionTimeoutMs() const;
 
  private:
   double stretch() const { return 1.0 + health_; }
@@ -110,26 +113,27 @@
   void begin(double nowMs);
   Step finish(double nowMs);
   void advance(double nowMs);
-  void wake(double nowMs);
-  void mustCatchUp();
-  void ill(int by);
+  void onStall(double nowMs);
+  void startCatchingUp();
+  void adjustHealth(int by);
 
   void startPeriod(double nowMs);
-  void askThirds(double nowMs);
-  void judge(double nowMs);
-  void askToCatchUp();
+  void pingIndirectly(double nowMs);
+  void evaluateProbe(double nowMs);
+  void pingToCatchUp();
   std::string dueSuspect(double nowMs) const;
-  std::vector<std::string> thirdsFor(const std::string& about, bool linkedOnly) const;
-
-  bool takeFrom(double nowMs, const std::string& from, const std::vector<MemberNews>& news);
-  void takeNews(double nowMs, const std::string& from, MemberNews news);
-  void takeOwnNews(const MemberNews& news);
-  void believe(double nowMs, Member& member, const MemberNews& news);
-  void learnHears(double nowMs, Member& about, std::uint32_t heardMsAgo);
-  std::vector<MemberNews> newsFor(const std::string& to, const std::string& about);
-  void ask(const std::string& to, const std::string& about, const std::string& behalf, std::uint64_t number);
-  void reply(const std::string& to, std::uint64_t number, bool reached, std::uint32_t heardMsAgo,
-             const std::string& about);
+  std::vector<std::string> helpersFor(const std::string& target, bool linkedOnly) const;
+
+  bool applyGossip(double nowMs, const std::string& from, const std::vector<GossipUpdate>& updates);
+  void applyUpdate(double nowMs, const std::string& from, GossipUpdate update);
+  void applyUpdateAboutSelf(const GossipUpdate& update);
+  void merge(double nowMs, Member& member, const GossipUpdate& update);
+  void updateHears(double nowMs, Member& target, std::uint32_t heardMsAgo);
+  std::vector<GossipUpdate> updatesFor(const std::string& to, const std::string& target);
+  void sendPing(const std::string& to, const std::string& target, const std::string& onBehalfOf,
+                std::uint64_t number);
+  void sendReply(const std::string& to, std::uint64_t number, bool reached, std::uint32_t heardMsAgo,
+                 const std::string& target);
   std::uint32_t heardMsAgo(double nowMs, const std::string& name) const;
 
   MembersTuning tuning_;
@@ -138,14 +142,14 @@
   MemberTable table_;
   MemberRound round_;
   MemberProbe probe_;
-  ThirdQuestions forOthers_;
-  std::uint64_t numbers_ = 0;    // the last one given out
-  std::uint64_t awakeFrom_ = 1;  // replies to questions from this number on are later than the own stall
+  IndirectPings indirectPings_;
+  std::uint64_t lastNumber_ = 0;        // last ping number assigned
+  std::uint64_t firstFreshNumber_ = 1;  // replies to pings from this number on were sent after the last stall
   bool catchingUp_ = false, begun_ = false;
   int health_ = 0;
-  int asked_ = 0;  // this period, to catch up
+  int catchUpPings_ = 0;  // pings sent in this period to catch up
   double dueMs_ = 0, periodAtMs_ = 0, repliedAtMs_ = 0;
-  Step step_;  // in the making
+  Step step_;  // step being built by the current call
 };
 
 }  // namespace myrtleloft
--- a/tests/copies_site.cpp
+++ b/tests/copies_site.cpp
@@ -93,10 +93,10 @@
   if (!up()) return;
   for (const std::string& other : setup_.others) {
     const LastHeartbeat& lastHeartbeat = lastHeartbeats_[other];
-    const Standing standing = lastHeartbeat.atMs < 0                           ? Standing::kUnknown
-                              : realMs - lastHeartbeat.atMs > kDeadAfterMs     ? Standing::kDead
-                              : realMs - lastHeartbeat.atMs > kDeadAfterMs / 2 ? Standing::kSuspect
-                                                                               : Standing::kAlive;
+    const MemberState standing = lastHeartbeat.atMs < 0                           ? MemberState::kUnknown
+                                 : realMs - lastHeartbeat.atMs > kDeadAfterMs     ? MemberState::kDead
+                                 : realMs - lastHeartbeat.atMs > kDeadAfterMs / 2 ? MemberState::kSuspect
+                                                                                  : MemberState::kAlive;
     replication_->onMember({other, standing, lastHeartbeat.incarnation, other, 1});
   }
   ReplicationStep step;
--- a/tests/fleet_incarnation_test.cpp
+++ b/tests/fleet_incarnation_test.cpp
@@ -1,4 +1,5 @@
-// The start's number in the state folder: over restarts, damage, a full disk, and an end at each operation.
+// Tests of the run number in the state folder: across restarts, damaged files, a full disk, and a crash at
+// each file operation.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -16,7 +17,7 @@
 
 namespace {
 
-KeptIncarnation start(Disk& disk, lab::CountedShare& share, std::uint64_t salt) {
+StoredIncarnation start(Disk& disk, lab::CountedShare& share, std::uint64_t salt) {
   FaultyFiles files(disk);
   return nextIncarnation({files, share}, "/s", salt);
 }
@@ -28,11 +29,11 @@
   lab::CountedShare share;
   CHECK((start(disk, share, 11).incarnation == Incarnation{11, 1}));
   CHECK((start(disk, share, 12).incarnation == Incarnation{11, 2}));
-  disk.losePower();  // it was on the disk before it was used
+  disk.losePower();  // the number was durable before it was used
   CHECK((start(disk, share, 13).incarnation == Incarnation{11, 3}));
   CHECK_EQ(disk.files.size(), 1);
   disk.files.clear();
-  const KeptIncarnation anew = start(disk, share, 14);
+  const StoredIncarnation anew = start(disk, share, 14);
   CHECK((anew.incarnation == Incarnation{14, 1}));
   CHECK((anew.damage.empty() && anew.fault.empty()));
 }
@@ -49,7 +50,7 @@
       file[at] = static_cast<char>(file[at] ^ 4);
     else
       file += 'x';
-    const KeptIncarnation kept = start(disk, share, 22);
+    const StoredIncarnation kept = start(disk, share, 22);
     CHECK((kept.incarnation == Incarnation{22, 1}));
     CHECK_FALSE(kept.damage.empty());
     CHECK((start(disk, share, 23).incarnation == Incarnation{22, 2}));
@@ -63,7 +64,7 @@
       Disk disk;
       lab::CountedShare share;
       std::set<std::pair<std::uint64_t, std::uint64_t>> given;
-      const auto give = [&](const KeptIncarnation& kept) {
+      const auto give = [&](const StoredIncarnation& kept) {
         CHECK(given.emplace(kept.incarnation.life, kept.incarnation.start).second);
       };
       give(start(disk, share, 11));
@@ -71,8 +72,8 @@
         FaultyFiles files(disk);
         files.crashAt(n, 7);
         lab::CountedShare gone;
-        const KeptIncarnation kept = nextIncarnation({files, gone}, "/s", 12);
-        if (kept.fault.empty()) give(kept);  // else the process ended before it was used
+        const StoredIncarnation kept = nextIncarnation({files, gone}, "/s", 12);
+        if (kept.fault.empty()) give(kept);  // otherwise the process ended before it used the number
       }
       if (powerLost) disk.losePower();
       give(start(disk, share, 13));
@@ -89,13 +90,13 @@
   for (std::uint64_t n = 1; n <= 4; ++n) {
     FaultyFiles files(disk);
     files.failAt(n, 1, ENOSPC);
-    const KeptIncarnation kept = nextIncarnation({files, share}, "/s", 20 + n);
-    if (kept.fault.empty()) continue;  // it was the removal of what is not there
+    const StoredIncarnation kept = nextIncarnation({files, share}, "/s", 20 + n);
+    if (kept.fault.empty()) continue;  // the failed operation was the removal of a missing file
     CHECK((kept.incarnation == Incarnation{20 + n, 1}));
     CHECK_EQ(share.used, before);
   }
   share.most = share.used;
-  const KeptIncarnation kept = start(disk, share, 31);
+  const StoredIncarnation kept = start(disk, share, 31);
   CHECK((kept.incarnation == Incarnation{31, 1}));
   CHECK_FALSE(kept.fault.empty());
 }
--- a/tests/fleet_members_laws_test.cpp
+++ b/tests/fleet_members_laws_test.cpp
@@ -1,5 +1,5 @@
-// What many members come to on a drawn network: the living are not called dead, the dead are found, and both
-// are agreed on again. Each run has its seed, and a failure names it.
+// Properties of many members on a simulated network: reachable live relays are not declared dead, crashed
+// ones are detected, and all relays agree again afterwards. A failure prints its seed.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -23,13 +23,14 @@
   return traits;
 }
 
-// From a crash to where all know: its turn with somebody, the span, the last question, and the news of it.
-double boundMs(int relays, double spanMs) {
+// Upper bound from a crash until all relays know of it: the wait for a probe, the suspicion timeout, the last
+// probe, and the spread of the update.
+double boundMs(int relays, double suspicionTimeoutMs) {
   const MembersTuning tuning;
-  return tuning.periodMs * (2.0 * relays + 6 * std::log2(relays + 1)) + 2 * spanMs;
+  return tuning.periodMs * (2.0 * relays + 6 * std::log2(relays + 1)) + 2 * suspicionTimeoutMs;
 }
 
-// Cuts and stalls that leave every two relays within reach of each other, for as long as `untilMs`.
+// Cuts links and stalls relays until `untilMs`, but keeps every two relays within reach of each other.
 void trouble(WatchedMembers& all, double untilMs, double longestStallMs) {
   DrawnFleet& fleet = all.fleet;
   const auto one = [&] { return static_cast<int>(fleet.drawn() % static_cast<std::uint64_t>(fleet.size())); };
@@ -69,24 +70,25 @@
     WatchedMembers all(relays, seed, drawnTraits(seed));
     all.startAll();
     CHECK(all.wellWithin(5000));
-    const double spanMs = all.at(0)->spanMs();
-    trouble(all, 35000, spanMs / 2);
+    const double suspicionTimeoutMs = all.at(0)->suspicionTimeoutMs();
+    trouble(all, 35000, suspicionTimeoutMs / 2);
     for (const auto& death : all.falseDeaths) {
-      FAIL_CHECK(death.by << " called " << death.about << " dead at " << death.atMs);
+      FAIL_CHECK(death.by << " called " << death.target << " dead at " << death.atMs);
     }
     suspicions += static_cast<int>(all.falseSuspicions.size());
 
-    // A crash amid the trouble that is left; only cuts may go, for a third may be the one that crashed.
+    // A crash while other effects remain. The cuts are removed first, as the only helper may be the crashed
+    // relay.
     for (int a = 0; a < relays; ++a) {
       for (int b = 0; b < relays; ++b) all.fleet.uncut(a, b);
     }
     const int lost = static_cast<int>(seed % static_cast<std::uint64_t>(relays));
     all.fleet.crash(lost, seed % 2 == 0 ? Folder::kKept : Folder::kLost, seed % 4 < 2);
-    CHECK(all.untilAllSay(lost, Standing::kDead, boundMs(relays, spanMs)));
+    CHECK(all.untilAllSay(lost, MemberState::kDead, boundMs(relays, suspicionTimeoutMs)));
     all.fleet.start(lost);
-    CHECK(all.untilAllSay(lost, Standing::kAlive, 2000));
+    CHECK(all.untilAllSay(lost, MemberState::kAlive, 2000));
     CHECK(all.wellWithin(5000));
     CHECK(all.falseDeaths.empty());
   }
-  CHECK(suspicions > 0);  // else nothing was put to the test
+  CHECK(suspicions > 0);  // otherwise the faults had no effect
 }
