--- a/bench/audit_bench.cpp
+++ b/bench/audit_bench.cpp
@@ -10,8 +10,8 @@
 
 using namespace myrtleloft;
 using myrtleloft::testing::AuditFleet;
+using myrtleloft::testing::FakeCases;
 using myrtleloft::testing::Rules;
-using myrtleloft::testing::ToyCases;
 
 namespace {
 
@@ -32,7 +32,7 @@
     RulesVersion version;
     version.parts[0] = {static_cast<std::uint64_t>(run), 1};
     OwnDecisions own;
-    own.become(0, version, 1, std::make_shared<CaseSet>(version.digest(), std::move(families)));
+    own.setRules(0, version, 1, std::make_shared<CaseSet>(version.digest(), std::move(families)));
     const double fromMs = nowMs();
     played = own.play(1000000);
     bestMs = std::min(bestMs, nowMs() - fromMs);
@@ -65,7 +65,7 @@
   AuditFleet fleet(relays, {1, relays}, AuditTuning());
   const Rules rules;
   std::vector<std::unique_ptr<CaseFamily>> families;
-  families.push_back(std::make_unique<ToyCases>(1, -1, -1));
+  families.push_back(std::make_unique<FakeCases>(1, -1, -1));
   const auto cases = std::make_shared<CaseSet>(rules.version().digest(), std::move(families));
   for (const std::string& name : fleet.names()) fleet.start(name, rules.version(), 1, cases);
   int untilS = 0;
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -1,17 +1,21 @@
-// Do all relays of the fleet decide alike? One relay's side of that question, without I/O: what comes and
-// goes is passed in and handed back, and so are time and randomness.
+// Checks that all relays of a fleet make the same decisions for the same input.
 //
-//   Audit audit(tuning, incarnation, seed);
-//   audit.onRules(nowMs, version, rev, cases);         // at the start, and whenever one of its parts changes
-//   audit.onPeerUp(introduction);
-//   Audit::Out out = audit.onTick(nowMs);              // as often as the caller likes; rounds keep their
-//   time std::size_t steps = audit.play(nowMs, 20, out);    // so much of the core; share.h says how much
-//   that is if (!audit.onMessage(nowMs, "n2", payload, out)) ... // not an audit's: the link is to be closed
+// Each relay runs the same generated test cases on its own decision module and exchanges digests of the
+// results with its peers; where two digests differ, it asks for ever smaller parts of them until it finds the
+// first step with a different result. Recorded windows of real traffic are replayed by a peer in the same
+// way. The class does no I/O: messages, time and random seeds are passed in, and messages to send are
+// returned.
+//
+//   ConsistencyChecker checker(tuning, incarnation, seed);
+//   checker.onRules(nowMs, version, revision, cases);  // at the start and after each change of the rules
+//   checker.onPeerUp(introduction);
+//   ConsistencyChecker::Out out = checker.onTick(nowMs);  // at any interval; rounds keep their own time
+//   std::size_t steps = checker.play(nowMs, 20, out);     // share.h says how many steps are allowed
+//   if (!checker.onMessage(nowMs, "n2", payload, out)) closeLink();  // not a valid audit message
 //   for (AuditSend& send : out.sends) links.send(send.peer, FleetKind::kAudit, send.payload);
 //
-// A send that is lost does no harm, nor one that comes twice, late, out of order, or from a process that is
-// gone. Each round costs one message to each of at most `peersARound` relays, and nothing more while all
-// agree.
+// Messages may be lost, duplicated, delayed, reordered, or come from an earlier process of the peer. While
+// all relays agree, each round costs one message to each of at most `peersPerRound` relays.
 #pragma once
 
 #include <cstdint>
@@ -30,67 +34,74 @@
 
 namespace myrtleloft {
 
+// An encoded AuditMessage to send to a peer.
 struct AuditSend {
   std::string peer, payload;
 };
 
-class Audit {
+class ConsistencyChecker {
  public:
+  // Messages to send and reports to log.
   struct Out {
     std::vector<AuditSend> sends;
     std::vector<AuditReport> reports;
   };
-  Audit(const AuditTuning& tuning, const Incarnation& self, std::uint64_t seed);
+  ConsistencyChecker(const AuditTuning& tuning, const Incarnation& self, std::uint64_t seed);
 
+  // Sets the current version of the rules and its cases; `cases` may be null if the version is unchanged.
   void onRules(double nowMs, const RulesVersion& version, std::int64_t listRev,
                std::shared_ptr<const CaseSet> cases) {
-    own_.become(nowMs, version, listRev, std::move(cases));
+    own_.setRules(nowMs, version, listRev, std::move(cases));
   }
-  // With what windows of real traffic are played.
-  void playWindowsWith(const Settings& settings, ModuleMaker make);
+  // Enables the replay of traffic windows from peers, with these settings and this decision module.
+  void enableWindowReplay(const Settings& settings, ModuleFactory make);
   void onPeerUp(const PeerIntroduction& peer);
   void onPeerDown(const std::string& peer);
-  // One that the operator took off the list.
+  // Drops all state of a peer that the operator removed from the configuration.
   void forget(const std::string& peer);
 
+  // Sends digest reports when a round is due, and due questions and answers.
   Out onTick(double nowMs);
-  // Up to `steps`; how many there were. 0: all is played.
+  // Runs up to `steps` steps and returns how many were run; 0 means that nothing is left to run.
   std::size_t play(double nowMs, std::size_t steps, Out& out);
+  // Returns false if `payload` is not a valid audit message.
   bool onMessage(double nowMs, const std::string& peer, std::string_view payload, Out& out);
-  // A window that a Recorder took goes to one relay, each time another; false: none is there for it.
-  bool offer(std::string window, Out& out);
+  // Sends a recorded window to one connected peer, in round-robin order. Returns false if there is none, or
+  // if the window is too large.
+  bool offerWindow(std::string window, Out& out);
 
   AuditVerdict verdict(double nowMs, const std::string& peer) const;
-  std::optional<RulesPart> differing(const std::string& peer) const;
-  // Two others and more are up, and this relay was seen to differ from each of them. It does not say who is
-  // right: of three that all decide otherwise, each differs from all others.
-  bool differsFromAllOthers(double nowMs) const;
+  // The first part of the rules in which the peer has a different version; see VersionWatch.
+  std::optional<RulesPart> differingPart(const std::string& peer) const;
+  // Returns true if at least two peers are up and this relay diverges from each of them. That does not show
+  // which relay is wrong: if three relays all decide differently, each diverges from all others.
+  bool divergesFromAllOthers(double nowMs) const;
   const AuditCounters& counters() const { return counters_; }
   const OwnDecisions& own() const { return own_; }
 
  private:
-  struct Visit {  // another's window
+  struct PeerWindow {  // a peer's traffic window that is being replayed
     std::string peer;
-    WindowPlay play;
+    WindowReplay play;
   };
-  void retune();
+  void scaleTimeouts();
   void send(const std::string& peer, AuditMessage message, Out& out);
-  void proceed(double nowMs, Out& out);
+  void advanceComparisons(double nowMs, Out& out);
   void onWindow(const std::string& peer, const AuditWindow& window);
-  bool playWindow(Out& out);
+  bool replayWindow(Out& out);
 
   AuditTuning base_, tuning_;
   Incarnation self_;
-  Draws draws_;
+  DeterministicRandom random_;
   OwnDecisions own_;
   std::map<std::string, Comparison> peers_;
   AuditCounters counters_;
   std::uint64_t lastNumber_ = 0;
   double nextRoundMs_ = -1;
-  std::string lastTold_, lastOffered_;  // whose turn it was
+  std::string lastReportedPeer_, lastOfferedPeer_;  // for the round-robin order
   std::optional<Settings> settings_;
-  ModuleMaker make_;
-  std::optional<Visit> visit_;
+  ModuleFactory factory_;
+  std::optional<PeerWindow> peerWindow_;
 };
 
 }  // namespace myrtleloft
--- a/src/audit/audit_driver.cpp
+++ b/src/audit/audit_driver.cpp
@@ -6,13 +6,13 @@
 namespace myrtleloft {
 namespace {
 
-AuditTuning tuningFor(int everyS) {
+AuditTuning tuningFor(int roundIntervalS) {
   AuditTuning tuning;
-  const double longer = everyS * 1000.0 / tuning.everyMs;
-  tuning.everyMs *= longer;
-  tuning.lateMs *= longer;
-  tuning.agreeForMs *= longer;
-  tuning.againMs *= longer;
+  const double scale = roundIntervalS * 1000.0 / tuning.roundIntervalMs;
+  tuning.roundIntervalMs *= scale;
+  tuning.lateVersionMs *= scale;
+  tuning.agreementValidMs *= scale;
+  tuning.questionTimeoutMs *= scale;
   return tuning;
 }
 
@@ -23,41 +23,42 @@
 
 }  // namespace
 
-AuditDriver::AuditDriver(const Parts& parts, int everyS, const Incarnation& self, std::uint64_t seed)
+AuditDriver::AuditDriver(const Parts& parts, int roundIntervalS, const Incarnation& self, std::uint64_t seed)
     : parts_(parts),
-      audit_(tuningFor(everyS), self, seed),
-      recorder_(parts.rules.config.settings, ownModule),
-      windowMs_(parts.loop.nowMs()),
-      everyMs_(everyS * 1000.0) {
-  audit_.playWindowsWith(parts_.rules.config.settings, ownModule);
+      audit_(tuningFor(roundIntervalS), self, seed),
+      recorder_(parts.rules.config.settings, makeOwnModule),
+      windowTimeMs_(parts.loop.nowMs()),
+      roundIntervalMs_(roundIntervalS * 1000.0) {
+  audit_.enableWindowReplay(parts_.rules.config.settings, makeOwnModule);
   tick();
 }
 
 void AuditDriver::tick() {
   timer_ = parts_.loop.after(kTickMs, [this] { tick(); });
   const double nowMs = parts_.loop.nowMs();
-  lookAtRules(nowMs);
-  if (recorder_.full() || (recorder_.recording() && nowMs - windowMs_ >= kWindowLasts * everyMs_))
+  updateRules(nowMs);
+  if (recorder_.full() ||
+      (recorder_.recording() && nowMs - windowTimeMs_ >= kWindowDurationRounds * roundIntervalMs_))
     closeWindow(nowMs);
-  carryOut(audit_.onTick(nowMs));
+  process(audit_.onTick(nowMs));
   const std::size_t steps = share_.steps(nowMs);
   if (steps == 0) return;
-  Audit::Out out;
+  ConsistencyChecker::Out out;
   const double fromMs = parts_.loop.nowMs();
   const std::size_t played = audit_.play(nowMs, steps, out);
-  share_.took(played, parts_.loop.nowMs() - fromMs);
-  carryOut(out);
+  share_.recordSpent(played, parts_.loop.nowMs() - fromMs);
+  process(out);
 }
 
-void AuditDriver::lookAtRules(double nowMs) {
-  if (nowMs - lookedMs_ < kListMs) return;
-  lookedMs_ = nowMs;
+void AuditDriver::updateRules(double nowMs) {
+  if (nowMs - lastListCheckMs_ < kListCheckIntervalMs) return;
+  lastListCheckMs_ = nowMs;
   const auto& [config, list] = parts_.rules;
-  const bool same =
-      audit_.own().known() && audit_.own().listRev() == list.revision() && size_ == list.all().size();
-  if (same && nowMs - digestedMs_ < everyMs_) return;
-  digestedMs_ = nowMs;
-  size_ = list.all().size();
+  const bool unchanged =
+      audit_.own().known() && audit_.own().listRev() == list.revision() && listSize_ == list.all().size();
+  if (unchanged && nowMs - lastDigestMs_ < roundIntervalMs_) return;
+  lastDigestMs_ = nowMs;
+  listSize_ = list.all().size();
   const RulesVersion version = rulesVersion(decisionCode(), config.settings, config.operatorFile, list.all());
   std::shared_ptr<const CaseSet> cases;
   if (!audit_.own().known() || !(audit_.own().version() == version)) {
@@ -71,8 +72,8 @@
 void AuditDriver::onBatch(double nowMs, const std::vector<Event>& events) {
   if (recorder_.full()) return;
   if (!recorder_.recording()) {
-    if (parts_.loop.nowMs() < windowMs_ || peers_.empty()) return;
-    windowMs_ = parts_.loop.nowMs();
+    if (parts_.loop.nowMs() < windowTimeMs_ || peers_.empty()) return;
+    windowTimeMs_ = parts_.loop.nowMs();
     EndpointListEvent list{ListUpdateKind::kSnapshot, {}};
     for (const auto& [uid, endpoint] : parts_.rules.list.all()) list.entries.push_back(endpoint.info);
     recorder_.begin(nowMs, std::move(list));
@@ -81,12 +82,12 @@
 }
 
 void AuditDriver::closeWindow(double nowMs) {
-  Audit::Out out;
-  // The list alone, or not even that: no traffic.
-  if (recorder_.batches() > 1) audit_.offer(recorder_.take(), out);
+  ConsistencyChecker::Out out;
+  // The first batch is the endpoint list; without a second one the window has no traffic.
+  if (recorder_.batches() > 1) audit_.offerWindow(recorder_.take(), out);
   recorder_.take();
-  windowMs_ = nowMs + kWindowEvery * everyMs_;
-  carryOut(out);
+  windowTimeMs_ = nowMs + kWindowIntervalRounds * roundIntervalMs_;
+  process(out);
 }
 
 void AuditDriver::onPeerUp(const PeerIntroduction& peer) {
@@ -106,72 +107,75 @@
 }
 
 bool AuditDriver::onMessage(const std::string& peer, std::string_view payload) {
-  Audit::Out out;
+  ConsistencyChecker::Out out;
   const bool ours = audit_.onMessage(parts_.loop.nowMs(), peer, payload, out);
-  carryOut(out);
+  process(out);
   return ours;
 }
 
-void AuditDriver::carryOut(const Audit::Out& out) {
+void AuditDriver::process(const ConsistencyChecker::Out& out) {
   for (const AuditSend& send : out.sends) parts_.links.send(send.peer, FleetKind::kAudit, send.payload);
-  for (const AuditReport& report : out.reports) tell(report);
+  for (const AuditReport& report : out.reports) logReport(report);
 }
 
-void AuditDriver::tell(const AuditReport& r) {
+void AuditDriver::logReport(const AuditReport& report) {
   using Kind = AuditReport::Kind;
+  const StepDifference& steps = report.stepDifference;
   const Log& log = parts_.log;
-  const auto seconds = static_cast<std::int64_t>(r.forMs / 1000);
-  const std::string place = r.family + " " + std::to_string(r.number) + " step " + std::to_string(r.step);
-  switch (r.kind) {
+  const auto seconds = static_cast<std::int64_t>(report.forMs / 1000);
+  const std::string location =
+      report.family + " " + std::to_string(report.number) + " step " + std::to_string(report.step);
+  switch (report.kind) {
     case Kind::kAgree:
       log.write(LogLevel::kInfo, "audit.agree",
-                "audit: " + r.peer + " decides as this relay, version " + r.version,
-                {{"peer", r.peer}, {"version", r.version}});
+                "audit: " + report.peer + " agrees with this relay, version " + report.version,
+                {{"peer", report.peer}, {"version", report.version}});
       return;
-    case Kind::kDiffer:
+    case Kind::kDiverged:
       log.write(LogLevel::kError, "audit.differ",
-                "audit: " + r.peer + " decides otherwise, version " + r.version + ", case " + place + ": " +
-                    r.said.event + ": here " + r.said.here + ", there " + r.said.there,
-                {{"peer", r.peer},
-                 {"version", r.version},
-                 {"case", r.family + " " + std::to_string(r.number)},
-                 {"step", r.step},
-                 {"told", r.said.event},
-                 {"here", r.said.here},
-                 {"there", r.said.there}});
+                "audit: " + report.peer + " diverges from this relay, version " + report.version + ", case " +
+                    location + ", input " + steps.event + ": here " + steps.here + ", there " + steps.there,
+                {{"peer", report.peer},
+                 {"version", report.version},
+                 {"case", report.family + " " + std::to_string(report.number)},
+                 {"step", report.step},
+                 {"told", steps.event},
+                 {"here", steps.here},
+                 {"there", steps.there}});
       return;
     case Kind::kOtherVersion:
     case Kind::kLateVersion: {
-      const bool late = r.kind == Kind::kLateVersion;
+      const bool late = report.kind == Kind::kLateVersion;
       log.write(late ? LogLevel::kWarning : LogLevel::kInfo, late ? "audit.late" : "audit.version",
-                "audit: " + r.peer + " has another version of the " + nameOf(r.part) + " for " +
-                    std::to_string(seconds) + " s, older: " + nameOf(r.older),
-                {{"peer", r.peer},
-                 {"version", r.version},
-                 {"part", nameOf(r.part)},
+                "audit: " + report.peer + " has had a different version of the " + nameOf(report.part) +
+                    " for " + std::to_string(seconds) + " s; older version: " + nameOf(report.older),
+                {{"peer", report.peer},
+                 {"version", report.version},
+                 {"part", nameOf(report.part)},
                  {"seconds", seconds},
-                 {"older", nameOf(r.older)}});
+                 {"older", nameOf(report.older)}});
       return;
     }
-    case Kind::kUnsteady:
+    case Kind::kNondeterminism:
       log.write(LogLevel::kError, "audit.unsteady",
-                "audit: this relay decided otherwise when it played a case again: " + r.family + " " +
-                    std::to_string(r.number),
-                {{"version", r.version}, {"case", r.family + " " + std::to_string(r.number)}});
+                "audit: nondeterministic decision: a replay on this relay gave a different result for case " +
+                    report.family + " " + std::to_string(report.number),
+                {{"version", report.version}, {"case", report.family + " " + std::to_string(report.number)}});
   }
 }
 
 void AuditDriver::print(std::ostream& out) const {
-  const AuditCounters& c = audit_.counters();
+  const AuditCounters& counters = audit_.counters();
   std::size_t agree = 0, differ = 0;
   for (const std::string& peer : peers_) {
     const AuditVerdict verdict = audit_.verdict(parts_.loop.nowMs(), peer);
     agree += verdict == AuditVerdict::kAgree;
-    differ += verdict == AuditVerdict::kDiffer;
+    differ += verdict == AuditVerdict::kDiverged;
   }
-  out << " audit-agree=" << agree << " audit-differ=" << differ << " audit-rounds=" << c.rounds
-      << " audit-steps=" << c.steps << " audit-windows=" << c.windows << " audit-late=" << c.late
-      << " audit-stale=" << c.stale << " audit-refused=" << c.refused << " audit-bytes-out=" << c.bytesOut;
+  out << " audit-agree=" << agree << " audit-differ=" << differ << " audit-rounds=" << counters.rounds
+      << " audit-steps=" << counters.steps << " audit-windows=" << counters.windows
+      << " audit-late=" << counters.late << " audit-stale=" << counters.stale
+      << " audit-refused=" << counters.refused << " audit-bytes-out=" << counters.bytesOut;
 }
 
 }  // namespace myrtleloft
--- a/src/audit/audit_driver.h
+++ b/src/audit/audit_driver.h
@@ -1,8 +1,9 @@
-// The audit on the loop: ticks it, gives it its share of the core, keeps its version of the rules up to date,
-// sends what it says and logs what it found.
+// Runs the ConsistencyChecker on the event loop: calls it periodically, limits its share of the core, keeps
+// its version of the rules up to date, sends its messages and logs its reports.
 //
-// The list is looked at once a second by rev and size, and whole once a round: an audit that knows of a
-// change later compares nothing wrong, for the version says so. O(list) then, some 3 ms for 10,000 endpoints.
+// The endpoint list is compared by revision and size once a second and digested in full once a round. A
+// change that is noticed late causes no false report, as the version tells which rules a digest is for. The
+// full digest takes time linear in the list, some 3 ms for 10,000 endpoints.
 #pragma once
 
 #include <ostream>
@@ -20,7 +21,7 @@
 
 namespace myrtleloft {
 
-// What this relay decides by, wherever that changes.
+// The configuration and endpoint list by which this relay decides.
 struct AuditedRules {
   const Config& config;
   const EndpointTable& list;
@@ -34,44 +35,45 @@
     Log log;
     AuditedRules rules;
   };
-  // `everyS` > 0.
-  AuditDriver(const Parts& parts, int everyS, const Incarnation& self, std::uint64_t seed);
+  // `roundIntervalS` must be positive.
+  AuditDriver(const Parts& parts, int roundIntervalS, const Incarnation& self, std::uint64_t seed);
   ~AuditDriver() { parts_.loop.cancel(timer_); }
   AuditDriver(const AuditDriver&) = delete;
   AuditDriver& operator=(const AuditDriver&) = delete;
 
   void onPeerUp(const PeerIntroduction& peer);
   void onPeerDown(const std::string& peer) { audit_.onPeerDown(peer); }
-  // Those that are not among them any more are forgotten.
+  // Drops the state of all peers that are not in `names`.
   void setPeers(const std::set<std::string>& names);
-  // false: no message of an audit.
+  // Returns false if `payload` is not a valid audit message.
   bool onMessage(const std::string& peer, std::string_view payload);
-  // What the module is told, before it decides: now and then a window of it goes to another relay.
+  // Takes each batch before the decision module handles it. From time to time a window of batches is recorded
+  // and sent to a peer.
   void onBatch(double nowMs, const std::vector<Event>& events);
-  // As a part of the line "counters fleet: ...".
+  // Writes the counters for the log line "counters fleet: ...".
   void print(std::ostream& out) const;
-  const Audit& audit() const { return audit_; }
+  const ConsistencyChecker& audit() const { return audit_; }
 
  private:
-  static constexpr double kTickMs = 100, kListMs = 1000;
-  // In rounds: how often a window of real traffic begins, and how long it lasts where it is not full before.
-  static constexpr double kWindowEvery = 10, kWindowLasts = 1;
+  static constexpr double kTickMs = 100, kListCheckIntervalMs = 1000;
+  // Interval between recorded windows and the longest duration of one, in rounds.
+  static constexpr double kWindowIntervalRounds = 10, kWindowDurationRounds = 1;
   void tick();
-  void lookAtRules(double nowMs);
+  void updateRules(double nowMs);
   void closeWindow(double nowMs);
-  void carryOut(const Audit::Out& out);
-  void tell(const AuditReport& report);
+  void process(const ConsistencyChecker::Out& out);
+  void logReport(const AuditReport& report);
 
   Parts parts_;
-  Audit audit_;
+  ConsistencyChecker audit_;
   CoreShare share_;
   Recorder recorder_;
-  double windowMs_;  // when the next one begins; while one is open: when it began
+  double windowTimeMs_;  // start of the open window, or of the next one if none is open
   std::set<std::string> peers_;
   Loop::Timer timer_ = Loop::kNoTimer;
-  double lookedMs_ = -kListMs, digestedMs_ = 0;
-  double everyMs_;
-  std::size_t size_ = 0;
+  double lastListCheckMs_ = -kListCheckIntervalMs, lastDigestMs_ = 0;
+  double roundIntervalMs_;
+  std::size_t listSize_ = 0;
 };
 
 }  // namespace myrtleloft
--- a/src/audit/audit_message.cpp
+++ b/src/audit/audit_message.cpp
@@ -7,7 +7,7 @@
 
 namespace myrtleloft {
 
-// ---- the fields, for cereal ----
+// ---- cereal serialization ----
 template <typename Archive>
 void serialize(Archive& ar, Hash& h) {
   ar(h.high, h.low);
@@ -21,7 +21,7 @@
   ar(n.version, n.level, n.branches, n.index, n.step);
 }
 template <typename Archive>
-void serialize(Archive& ar, AuditTold& t) {
+void serialize(Archive& ar, DigestReport& t) {
   for (Hash& part : t.version.parts) ar(part);
   for (std::uint32_t& held : t.heldS) ar(held);
   ar(t.listRev, t.branches, t.root);
@@ -30,7 +30,7 @@
 void serialize(Archive& ar, AuditQuestion& q) {
   ar(q.node);
 }
-// A flag is a whole byte: one that is neither of the two would be no bool.
+// Rejects bytes other than 0 and 1, which would not be valid bool values.
 template <typename Archive>
 void flag(Archive& ar, bool& value) {
   auto byte = static_cast<std::uint8_t>(value);
@@ -41,8 +41,8 @@
 template <typename Archive>
 void serialize(Archive& ar, AuditAnswer& a) {
   ar(a.node);
-  flag(ar, a.there);
-  ar(a.children, a.asked, a.did);
+  flag(ar, a.available);
+  ar(a.children, a.input, a.output);
 }
 template <typename Archive>
 void serialize(Archive& ar, AuditWindow& w) {
@@ -50,12 +50,12 @@
 }
 template <typename Archive>
 void serialize(Archive& ar, AuditMessage& m) {
-  ar(m.from, m.to, m.number, m.heard);
-  std::visit([&](auto& what) { ar(what); }, m.what);
+  ar(m.from, m.to, m.number, m.lastReceivedNumber);
+  std::visit([&](auto& body) { ar(body); }, m.body);
 }
 
 std::string encode(const AuditMessage& message) {
-  std::string bytes(1, static_cast<char>(message.what.index()));
+  std::string bytes(1, static_cast<char>(message.body.index()));
   BufferOutputArchive out(bytes);
   AuditMessage copy = message;
   out(copy);
@@ -64,30 +64,30 @@
 }
 
 bool decode(std::string_view bytes, AuditMessage& message) {
-  constexpr std::size_t kCheck = sizeof(std::uint64_t);
-  if (bytes.size() <= kCheck || bytes.size() > kMostAuditMessage) return false;
-  const std::string_view all = bytes.substr(0, bytes.size() - kCheck);
-  std::uint64_t check = 0;
-  std::memcpy(&check, bytes.data() + all.size(), kCheck);
-  if (check != hashOf(all).low) return false;
+  constexpr std::size_t kChecksumBytes = sizeof(std::uint64_t);
+  if (bytes.size() <= kChecksumBytes || bytes.size() > kMaxAuditMessageBytes) return false;
+  const std::string_view content = bytes.substr(0, bytes.size() - kChecksumBytes);
+  std::uint64_t checksum = 0;
+  std::memcpy(&checksum, bytes.data() + content.size(), kChecksumBytes);
+  if (checksum != hashOf(content).low) return false;
   switch (bytes[0]) {
     case 0:
-      message.what = AuditTold();
+      message.body = DigestReport();
       break;
     case 1:
-      message.what = AuditQuestion();
+      message.body = AuditQuestion();
       break;
     case 2:
-      message.what = AuditAnswer();
+      message.body = AuditAnswer();
       break;
     case 3:
-      message.what = AuditWindow();
+      message.body = AuditWindow();
       break;
     default:
       return false;
   }
   try {
-    BufferInputArchive in(all.substr(1));
+    BufferInputArchive in(content.substr(1));
     in(message);
     return in.left() == 0;
   } catch (const std::exception&) {
--- a/src/audit/audit_message.h
+++ b/src/audit/audit_message.h
@@ -1,13 +1,13 @@
-// What one audit says to another, within the fleet's kind kAudit.
+// Messages between the consistency checkers of two relays, sent with the fleet message kind kAudit.
 //
-//   *told*     each round: my version, and the root over what I have played of it; never answered
-//   *question* one node of your tree, for that version
-//   *answer*   its children; of a step, what was asked and done
-//   *window*   real traffic as a shadow of my module decided on it, for you to play
+//   DigestReport   sent each round: the version of the rules and the root digest so far; it has no answer
+//   AuditQuestion  asks for the children of one node of the peer's digest tree
+//   AuditAnswer    the children of that node; for a step, its input and output
+//   AuditWindow    a recorded window of real traffic with the recorded decisions, to be replayed by the peer
 //
-// Each names both processes by their incarnations, so that a message from or to an earlier one is known as
-// such, and ends with a check over its bytes. 165 bytes for a round's word; no message is over
-// kMostAuditMessage.
+// Each message names both processes by incarnation, so that messages from or to an earlier process are
+// recognised, and ends with a checksum. A digest report takes 165 bytes; no message exceeds
+// kMaxAuditMessageBytes.
 #pragma once
 
 #include <array>
@@ -23,22 +23,25 @@
 
 namespace myrtleloft {
 
-// Of a step at most half as much goes, of a window three quarters.
-inline constexpr std::size_t kMostAuditMessage = kMostFleetPayload;
+// A step takes at most half of this, a window at most three quarters.
+inline constexpr std::size_t kMaxAuditMessageBytes = kMostFleetPayload;
 
+// Levels of the digest tree: each names the kind of children that a question asks for.
 enum class NodeLevel : std::uint8_t { kBranches, kCases, kSteps, kStep };
+// Identifies a node of the digest tree of one version.
 struct NodeName {
   Hash version;
   NodeLevel level = NodeLevel::kBranches;
-  std::uint32_t branches = 0;  // the root's: how many are under it
-  std::uint32_t index = 0;     // of the branch, or of the case
+  std::uint32_t branches = 0;  // number of branches that the root covers
+  std::uint32_t index = 0;     // index of the branch or of the case
   std::uint32_t step = 0;
   friend bool operator==(const NodeName&, const NodeName&) = default;
 };
 
-struct AuditTold {
+// The sender's version of the rules and the root digest over its complete branches.
+struct DigestReport {
   RulesVersion version;
-  std::array<std::uint32_t, kRulesParts> heldS{};  // for how long it has been that, in this process
+  std::array<std::uint32_t, kRulesParts> heldS{};  // age of each part's version, seconds
   std::int64_t listRev = 0;
   std::uint32_t branches = 0;
   Hash root;
@@ -48,25 +51,25 @@
 };
 struct AuditAnswer {
   NodeName node;
-  bool there = false;  // false: that version is over here, or not played so far
+  bool available = false;  // false if the version has changed or the node is not computed yet
   std::vector<Hash> children;
-  std::string asked, did;  // of a step
+  std::string input, output;  // for a step only
 };
 struct AuditWindow {
   Hash program, settings;
-  Hash digest;        // of the bytes
-  std::string bytes;  // recorder.h
+  Hash digest;        // digest of `bytes`
+  std::string bytes;  // an encoded TrafficWindow, see recorder.h
 };
 
 struct AuditMessage {
-  Incarnation from, to;      // `to` is not known before the other was heard
-  std::uint64_t number = 0;  // of this message; of an answer, the question's
-  std::uint64_t heard = 0;   // the newest *told* of the other that came here; 0: none
-  std::variant<AuditTold, AuditQuestion, AuditAnswer, AuditWindow> what;
+  Incarnation from, to;                  // the sender's and the receiver's process
+  std::uint64_t number = 0;              // number of this message; for an answer, of its question
+  std::uint64_t lastReceivedNumber = 0;  // of the newest digest report received from the peer; 0 if none
+  std::variant<DigestReport, AuditQuestion, AuditAnswer, AuditWindow> body;
 };
 
 std::string encode(const AuditMessage& message);
-// false: nothing of ours, or too long. O(size).
+// Returns false if the bytes are not a valid message or too long. O(size).
 bool decode(std::string_view bytes, AuditMessage& message);
 
 }  // namespace myrtleloft
--- a/src/audit/audit_report.h
+++ b/src/audit/audit_report.h
@@ -1,4 +1,4 @@
-// What an audit has to say: a verdict on each other relay, and what is told once when it changes.
+// Results of the consistency check: the verdict on each peer and the reports made when a verdict changes.
 #pragma once
 
 #include <cstddef>
@@ -11,9 +11,9 @@
 namespace myrtleloft {
 
 enum class AuditVerdict : std::uint8_t {
-  kNotKnown,  // silent, of another version, not yet played, or on the way down the tree
-  kAgree,     // all cases of the same version came out alike, said so in answer to what was lately sent
-  kDiffer     // a step of the same version was seen that came out otherwise there
+  kNotKnown,  // no recent report, a different version, cases still running, or a search still in progress
+  kAgree,     // all cases of the same version gave equal results, according to a recent report of the peer
+  kDiverged   // a step with a different result was found for the same version
 };
 
 enum class OlderVersion : std::uint8_t { kNotKnown, kHere, kThere };
@@ -21,39 +21,40 @@
 struct AuditReport {
   enum class Kind : std::uint8_t {
     kAgree,
-    kDiffer,        // all fields below but `part` and what follows it
-    kOtherVersion,  // for two rounds and more; nothing is compared
-    kLateVersion,   // ... for AuditTuning::lateMs and more
-    kUnsteady       // this program decided otherwise when a case was played again; `peer` is empty
+    kDiverged,       // sets all fields below up to `stepDifference`
+    kOtherVersion,   // the versions have differed for at least two rounds; nothing is compared
+    kLateVersion,    // the versions have differed for at least AuditTuning::lateVersionMs
+    kNondeterminism  // a replay of a case on this relay gave a different result; `peer` is empty
   };
   Kind kind = Kind::kAgree;
   std::string peer, version;
-  std::string family;  // "traffic": a window of real events
+  std::string family;  // "traffic" for a window of real events
   std::size_t number = 0, step = 0;
-  StepDifference said;
-  RulesPart part = RulesPart::kProgram;  // the first one that differs
+  StepDifference stepDifference;
+  RulesPart part = RulesPart::kProgram;  // the first part that differs
   double forMs = 0;
   OlderVersion older = OlderVersion::kNotKnown;
 };
 
 struct AuditTuning {
-  double everyMs = 30000;
-  // A version that differs for longer is told of as late. A rolling change of a fleet takes minutes.
-  double lateMs = 600000;
-  // How long after my word, to which another's agreement was the answer, it still counts.
-  double agreeForMs = 120000;
-  double againMs = 5000;         // an unanswered question is asked again after
-  int tries = 3;                 // ... so many times in all, then the walk is given up until the next root
-  int questionsARound = 8;       // of one peer that are answered; a walk takes four
-  std::size_t peersARound = 16;  // of more, so many in turn; lateMs and agreeForMs grow with the turns
+  double roundIntervalMs = 30000;
+  // A version that differs for longer is reported as late. A rolling update of a fleet takes minutes.
+  double lateVersionMs = 600000;
+  // How long an agreement counts, from the time of the own report that the peer acknowledged with it.
+  double agreementValidMs = 120000;
+  double questionTimeoutMs = 5000;  // an unanswered question is repeated after this time
+  int maxQuestionAttempts = 3;      // then the search is abandoned until the next digest report
+  int questionsPerRound = 8;        // answered per peer; a search takes four
+  // With more peers they take turns, and lateVersionMs and agreementValidMs grow with the number of turns.
+  std::size_t peersPerRound = 16;
 };
 
 struct AuditCounters {
-  std::uint64_t rounds = 0, steps = 0;     // of cases played
-  std::uint64_t agreed = 0, differed = 0;  // reports
-  std::uint64_t late = 0, windows = 0;     // told late; windows of real traffic played
-  std::uint64_t stale = 0;                 // of an earlier process, or said before: ignored
-  std::uint64_t refused = 0;               // do not fit what was said before, or too many: ignored
+  std::uint64_t rounds = 0, steps = 0;     // `steps` counts the steps of cases and windows
+  std::uint64_t agreed = 0, diverged = 0;  // reports
+  std::uint64_t late = 0, windows = 0;     // reports of late versions; replayed traffic windows
+  std::uint64_t stale = 0;                 // ignored messages from an earlier process or already superseded
+  std::uint64_t refused = 0;               // ignored messages that contradict earlier ones or exceed a limit
   std::uint64_t bytesOut = 0;
 };
 
--- a/src/audit/cases.h
+++ b/src/audit/cases.h
@@ -1,9 +1,9 @@
-// Cases: what each relay of a fleet is asked in its head, the same at all, and what it answers.
+// Test cases that every relay of a fleet runs on its own decision module, and the results that are compared.
 //
-// A family draws its cases from the version of the rules alone. A case is a run of steps; in each, something
-// is asked and something done, both as bytes. What is asked may follow from what was done before, so that up
-// to the first step at which two relays do otherwise they were asked the same. A step takes microseconds:
-// cases are played one step at a time, beside traffic.
+// A case family generates its cases from the version of the rules alone. A case is a sequence of steps, each
+// with an input and an output in encoded form. The input of a step may depend on earlier outputs, so two
+// relays have equal inputs up to the first step with different outputs. A step takes microseconds; cases are
+// run one step at a time between the handling of traffic.
 #pragma once
 
 #include <memory>
@@ -15,41 +15,44 @@
 
 namespace myrtleloft {
 
+// Encoded input and output of one step.
 struct CaseStep {
-  std::string asked, did;
+  std::string input, output;
   Hash digest() const;
 };
 
-// A case has no more steps, whatever its family.
-inline constexpr std::size_t kMostSteps = 64;
+// Maximum number of steps of a case of any family.
+inline constexpr std::size_t kMaxSteps = 64;
 
+// One execution of a case.
 class CaseRun {
  public:
   virtual ~CaseRun() = default;
-  // false: the case is over, and `step` is as it was.
+  // Runs the next step. Returns false and leaves `step` unchanged at the end of the case.
   virtual bool next(CaseStep& step) = 0;
 };
 
-// What a line of the log says of a step at which two relays differ.
+// Texts for the log about a step with different results on two relays.
 struct StepDifference {
   std::string event, here, there;
 };
 
+// A generator of cases of one kind.
 class CaseFamily {
  public:
   virtual ~CaseFamily() = default;
   virtual const char* name() const = 0;
   virtual std::size_t cases() const = 0;
-  // The same steps each time, for one version; O(1) beside what a step costs.
+  // Gives the same steps each time for one version. O(1) compared to the cost of a step.
   virtual std::unique_ptr<CaseRun> begin(const Hash& version, std::size_t index) const = 0;
-  // Both steps are asked the same and did otherwise; either may be bytes that nobody wrote.
+  // Describes two steps with equal input and different output. Either may hold invalid bytes.
   virtual StepDifference difference(const CaseStep& here, const CaseStep& there) const = 0;
 };
 
-// All that is played for one version, numbered through.
+// All cases for one version, numbered consecutively over all families.
 class CaseSet {
  public:
-  struct Place {
+  struct Location {
     const CaseFamily* family = nullptr;
     std::size_t index = 0;
   };
@@ -57,7 +60,7 @@
 
   const Hash& version() const { return version_; }
   std::size_t size() const { return size_; }
-  Place at(std::size_t number) const;  // number < size()
+  Location at(std::size_t number) const;  // requires number < size()
   std::unique_ptr<CaseRun> begin(std::size_t number) const;
 
  private:
--- a/src/audit/comparison.cpp
+++ b/src/audit/comparison.cpp
@@ -5,41 +5,42 @@
 namespace myrtleloft {
 namespace {
 
-constexpr std::size_t kSentKept = 8;
-constexpr std::size_t kMostStepBytes = kMostAuditMessage / 2;
+constexpr std::size_t kMaxSentReports = 8;
+constexpr std::size_t kMaxStepBytes = kMaxAuditMessageBytes / 2;
 
-std::size_t firstOther(const std::vector<Hash>& mine, const std::vector<Hash>& theirs) {
-  const auto at = std::mismatch(mine.begin(), mine.end(), theirs.begin(), theirs.end());
-  return static_cast<std::size_t>(at.first - mine.begin());
+std::size_t firstMismatch(const std::vector<Hash>& local, const std::vector<Hash>& remote) {
+  const auto at = std::mismatch(local.begin(), local.end(), remote.begin(), remote.end());
+  return static_cast<std::size_t>(at.first - local.begin());
 }
 
 }  // namespace
 
 void Comparison::up(const Incarnation& incarnation) {
   up_ = true;
-  questionsLeft_ = tuning_.questionsARound;
+  questionsLeft_ = tuning_.questionsPerRound;
   if (incarnation == incarnation_) return;
   incarnation_ = incarnation;
-  heard_ = 0;
+  lastReceivedNumber_ = 0;
   question_.reset();
   walk_.reset();
   versions_ = {};
-  differed_.reset();
-  agreed_.reset();
+  divergedVersion_.reset();
+  agreedVersion_.reset();
 }
 
-AuditTold Comparison::tell(double nowMs, std::uint64_t number, const OwnDecisions& own) {
-  questionsLeft_ = tuning_.questionsARound;
+DigestReport Comparison::makeDigestReport(double nowMs, std::uint64_t number, const OwnDecisions& own) {
+  questionsLeft_ = tuning_.questionsPerRound;
   sent_.emplace_back(number, nowMs);
-  if (sent_.size() > kSentKept) sent_.pop_front();
-  AuditTold told;
-  told.version = own.version();
+  if (sent_.size() > kMaxSentReports) sent_.pop_front();
+  DigestReport digestReport;
+  digestReport.version = own.version();
   for (std::size_t i = 0; i < kRulesParts; ++i)
-    told.heldS[i] = static_cast<std::uint32_t>((nowMs - own.heldSinceMs(static_cast<RulesPart>(i))) / 1000);
-  told.listRev = own.listRev();
-  told.branches = static_cast<std::uint32_t>(own.tree().branches());
-  told.root = own.tree().root(told.branches);
-  return told;
+    digestReport.heldS[i] =
+        static_cast<std::uint32_t>((nowMs - own.heldSinceMs(static_cast<RulesPart>(i))) / 1000);
+  digestReport.listRev = own.listRev();
+  digestReport.branches = static_cast<std::uint32_t>(own.tree().branches());
+  digestReport.root = own.tree().root(digestReport.branches);
+  return digestReport;
 }
 
 std::optional<double> Comparison::sentMs(std::uint64_t number) const {
@@ -48,31 +49,32 @@
   return std::nullopt;
 }
 
-void Comparison::onTold(double nowMs, const AuditMessage& message, const AuditTold& told,
-                        const OwnDecisions& own, AuditCounters& counters, std::vector<AuditReport>& reports) {
-  if (message.number <= heard_) {
+void Comparison::onDigestReport(double nowMs, const AuditMessage& message, const DigestReport& digestReport,
+                                const OwnDecisions& own, AuditCounters& counters,
+                                std::vector<AuditReport>& reports) {
+  if (message.number <= lastReceivedNumber_) {
     ++counters.stale;
     return;
   }
-  heard_ = message.number;
-  // It is at least as new as my word that it had heard.
-  const auto answered = sentMs(message.heard);
-  versions_.onTold(nowMs, answered, peer_, told, own, tuning_, counters, reports);
-  if (told.version != own.version()) return;
-  const std::size_t branches = told.branches;
+  lastReceivedNumber_ = message.number;
+  // The report is at least as recent as the own report that it acknowledges.
+  const auto answered = sentMs(message.lastReceivedNumber);
+  versions_.onDigestReport(nowMs, answered, peer_, digestReport, own, tuning_, counters, reports);
+  if (digestReport.version != own.version()) return;
+  const std::size_t branches = digestReport.branches;
   if (branches == 0 || branches > own.tree().branches()) return;
-  if (told.root != own.tree().root(branches)) {
-    if (current(own) || differed_ == own.digest()) return;
+  if (digestReport.root != own.tree().root(branches)) {
+    if (walkIsCurrent(own) || divergedVersion_ == own.digest()) return;
     walk_.emplace();
     walk_->node.version = own.digest();
-    walk_->node.branches = told.branches;
-    down(NodeLevel::kBranches, 0, 0, told.root);
+    walk_->node.branches = digestReport.branches;
+    descend(NodeLevel::kBranches, 0, 0, digestReport.root);
     return;
   }
   if (branches != own.tree().allBranches() || !answered) return;
   const bool before = verdict(nowMs, own) == AuditVerdict::kAgree;
-  if (agreed_ != own.digest() || *answered > agreedMs_) agreedMs_ = *answered;
-  agreed_ = own.digest();
+  if (agreedVersion_ != own.digest() || *answered > agreedMs_) agreedMs_ = *answered;
+  agreedVersion_ = own.digest();
   if (before || verdict(nowMs, own) != AuditVerdict::kAgree) return;
   ++counters.agreed;
   AuditReport& report = reports.emplace_back();
@@ -80,20 +82,21 @@
   report.version = shortText(own.digest());
 }
 
-// ---- the walk ----
-void Comparison::down(NodeLevel level, std::size_t index, std::size_t step, const Hash& expected) {
+// ---- search for the first different step ----
+void Comparison::descend(NodeLevel level, std::size_t index, std::size_t step, const Hash& expected) {
   walk_->node.level = level;
   walk_->node.index = static_cast<std::uint32_t>(index);
   walk_->node.step = static_cast<std::uint32_t>(step);
   walk_->expected = expected;
   walk_->number = 0;
-  walk_->tries = 0;
+  walk_->attempts = 0;
 }
 
-std::optional<AuditQuestion> Comparison::ask(double nowMs, std::uint64_t number, const OwnDecisions& own) {
-  if (!up_ || !current(own) || walk_->steps || walk_->theirs) return std::nullopt;
-  if (walk_->number != 0 && nowMs - walk_->askedMs < tuning_.againMs) return std::nullopt;
-  if (++walk_->tries > tuning_.tries) {
+std::optional<AuditQuestion> Comparison::nextQuestion(double nowMs, std::uint64_t number,
+                                                      const OwnDecisions& own) {
+  if (!up_ || !walkIsCurrent(own) || walk_->steps || walk_->remote) return std::nullopt;
+  if (walk_->number != 0 && nowMs - walk_->askedMs < tuning_.questionTimeoutMs) return std::nullopt;
+  if (++walk_->attempts > tuning_.maxQuestionAttempts) {
     walk_.reset();
     return std::nullopt;
   }
@@ -104,84 +107,85 @@
 
 void Comparison::onAnswer(std::uint64_t number, AuditAnswer answer, const OwnDecisions& own,
                           AuditCounters& counters) {
-  if (!current(own) || number != walk_->number || !(answer.node == walk_->node)) {
+  if (!walkIsCurrent(own) || number != walk_->number || !(answer.node == walk_->node)) {
     ++counters.stale;
     return;
   }
-  if (!answer.there) {
+  if (!answer.available) {
     walk_.reset();
     return;
   }
-  CaseStep step{std::move(answer.asked), std::move(answer.did)};
+  CaseStep step{std::move(answer.input), std::move(answer.output)};
   const NodeLevel level = walk_->node.level;
-  const Hash said = level == NodeLevel::kStep ? step.digest() : hashOf(answer.children);
-  if (said != walk_->expected || answer.children.size() > own.tree().cases()) {
+  const Hash actual = level == NodeLevel::kStep ? step.digest() : hashOf(answer.children);
+  if (actual != walk_->expected || answer.children.size() > own.tree().cases()) {
     ++counters.refused;
     return;
   }
   const HashTree& tree = own.tree();
   if (level == NodeLevel::kStep) {
-    walk_->theirs = std::move(step);
+    walk_->remote = std::move(step);
   } else if (level == NodeLevel::kSteps) {
     walk_->steps = std::move(answer.children);
   } else {
     const bool root = level == NodeLevel::kBranches;
-    const auto mine = root ? tree.firstBranches(walk_->node.branches) : tree.leavesOf(walk_->node.index);
-    const std::size_t at = firstOther(mine, answer.children);
-    // Hashes of lists that differ in length only: not of this version's cases.
-    if (at >= mine.size() || at >= answer.children.size()) return walk_.reset();
+    const auto local = root ? tree.firstBranches(walk_->node.branches) : tree.leavesOf(walk_->node.index);
+    const std::size_t at = firstMismatch(local, answer.children);
+    // One list is a prefix of the other, so they are not over the cases of the same version.
+    if (at >= local.size() || at >= answer.children.size()) return walk_.reset();
     if (root)
-      down(NodeLevel::kCases, at, 0, answer.children[at]);
+      descend(NodeLevel::kCases, at, 0, answer.children[at]);
     else
-      down(NodeLevel::kSteps, walk_->node.index * kFanOut + at, 0, answer.children[at]);
+      descend(NodeLevel::kSteps, walk_->node.index * kFanOut + at, 0, answer.children[at]);
   }
 }
 
-std::optional<std::size_t> Comparison::wanted(const OwnDecisions& own) const {
-  if (current(own) && walk_->steps) return walk_->node.index;
+std::optional<std::size_t> Comparison::caseToReplay(const OwnDecisions& own) const {
+  if (walkIsCurrent(own) && walk_->steps) return walk_->node.index;
   if (question_ && question_->second.level >= NodeLevel::kSteps &&
       question_->second.version == own.digest() && question_->second.index < own.tree().played())
     return question_->second.index;
   return std::nullopt;
 }
 
-void Comparison::takeSteps(const OwnDecisions& own) {
+void Comparison::compareSteps(const OwnDecisions& own) {
   const std::size_t number = walk_->node.index;
   const std::vector<CaseStep>* steps = own.steps(number);
   if (!steps) return;
-  std::vector<Hash> mine;
-  for (const CaseStep& step : *steps) mine.push_back(step.digest());
-  const std::vector<Hash> theirs = std::move(*walk_->steps);
+  std::vector<Hash> local;
+  for (const CaseStep& step : *steps) local.push_back(step.digest());
+  const std::vector<Hash> remote = std::move(*walk_->steps);
   walk_->steps.reset();
-  const std::size_t at = firstOther(mine, theirs);
-  // The own program did not do the same again, or one of the two ended early: told elsewhere, or no step.
-  if (hashOf(mine) != own.tree().leaf(number) || at >= mine.size() || at >= theirs.size())
+  const std::size_t at = firstMismatch(local, remote);
+  // Stops if the local replay was not deterministic, which is reported separately, or if one case ended
+  // early, so that there is no step to compare.
+  if (hashOf(local) != own.tree().leaf(number) || at >= local.size() || at >= remote.size())
     return walk_.reset();
-  walk_->mine = (*steps)[at];
-  down(NodeLevel::kStep, number, at, theirs[at]);
+  walk_->local = (*steps)[at];
+  descend(NodeLevel::kStep, number, at, remote[at]);
 }
 
 void Comparison::advance(const OwnDecisions& own, AuditCounters& counters,
                          std::vector<AuditReport>& reports) {
   if (!own.known()) return;
-  if (walk_ && !current(own)) walk_.reset();
-  if (walk_ && walk_->steps) takeSteps(own);
-  if (!walk_ || !walk_->theirs) return;
-  const CaseSet::Place place = own.cases().at(walk_->node.index);
+  if (walk_ && !walkIsCurrent(own)) walk_.reset();
+  if (walk_ && walk_->steps) compareSteps(own);
+  if (!walk_ || !walk_->remote) return;
+  const CaseSet::Location location = own.cases().at(walk_->node.index);
   AuditReport& report = reports.emplace_back();
-  report.kind = AuditReport::Kind::kDiffer;
+  report.kind = AuditReport::Kind::kDiverged;
   report.peer = peer_;
   report.version = shortText(own.digest());
-  report.family = place.family->name();
-  report.number = place.index;
+  report.family = location.family->name();
+  report.number = location.index;
   report.step = walk_->node.step;
-  report.said = place.family->difference(walk_->mine, *walk_->theirs);
-  ++counters.differed;
-  differed_ = own.digest();
+  report.stepDifference = location.family->difference(walk_->local, *walk_->remote);
+  ++counters.diverged;
+  divergedVersion_ = own.digest();
   walk_.reset();
 }
 
-// ---- questions of the other ----
+// ---- questions of the peer ----
 void Comparison::onQuestion(std::uint64_t number, const AuditQuestion& question, AuditCounters& counters) {
   if (questionsLeft_ <= 0) {
     ++counters.refused;
@@ -199,33 +203,33 @@
   const HashTree& tree = own.tree();
   if (node.version == own.digest()) {
     if (node.level == NodeLevel::kBranches && node.branches <= tree.branches()) {
-      answer.there = true;
+      answer.available = true;
       answer.children = tree.firstBranches(node.branches);
     } else if (node.level == NodeLevel::kCases && node.index < tree.branches()) {
-      answer.there = true;
+      answer.available = true;
       answer.children = tree.leavesOf(node.index);
     } else if (node.level >= NodeLevel::kSteps && node.index < tree.played()) {
       const std::vector<CaseStep>* steps = own.steps(node.index);
-      if (!steps) return std::nullopt;  // they are being played
+      if (!steps) return std::nullopt;  // the replay is still running
       if (node.level == NodeLevel::kSteps) {
-        answer.there = true;
+        answer.available = true;
         for (const CaseStep& step : *steps) answer.children.push_back(step.digest());
       } else if (node.step < steps->size()) {
         const CaseStep& step = (*steps)[node.step];
-        answer.there = step.asked.size() + step.did.size() <= kMostStepBytes;
-        if (answer.there) answer.asked = step.asked, answer.did = step.did;
+        answer.available = step.input.size() + step.output.size() <= kMaxStepBytes;
+        if (answer.available) answer.input = step.input, answer.output = step.output;
       }
     }
   }
-  std::pair<std::uint64_t, AuditAnswer> said{number, std::move(answer)};
+  std::pair<std::uint64_t, AuditAnswer> reply{number, std::move(answer)};
   question_.reset();
-  return said;
+  return reply;
 }
 
 AuditVerdict Comparison::verdict(double nowMs, const OwnDecisions& own) const {
   if (!own.known()) return AuditVerdict::kNotKnown;
-  if (differed_ == own.digest()) return AuditVerdict::kDiffer;
-  const bool agree = agreed_ == own.digest() && nowMs - agreedMs_ <= tuning_.agreeForMs;
+  if (divergedVersion_ == own.digest()) return AuditVerdict::kDiverged;
+  const bool agree = agreedVersion_ == own.digest() && nowMs - agreedMs_ <= tuning_.agreementValidMs;
   return agree ? AuditVerdict::kAgree : AuditVerdict::kNotKnown;
 }
 
--- a/src/audit/hash.cpp
+++ b/src/audit/hash.cpp
@@ -30,13 +30,13 @@
   return text.data();
 }
 
-Draws::Draws(const Hash& seed, std::string_view purpose) {
+DeterministicRandom::DeterministicRandom(const Hash& seed, std::string_view purpose) {
   std::string bytes(reinterpret_cast<const char*>(&seed), sizeof seed);
   seed_ = hashOf(bytes.append(purpose));
 }
 
-std::uint64_t Draws::next() {
-  const std::array<std::uint64_t, 3> bytes{seed_.high, seed_.low, drawn_++};
+std::uint64_t DeterministicRandom::next() {
+  const std::array<std::uint64_t, 3> bytes{seed_.high, seed_.low, counter_++};
   return XXH3_64bits(bytes.data(), sizeof bytes);
 }
 
--- a/src/audit/hash.h
+++ b/src/audit/hash.h
@@ -1,5 +1,5 @@
-// The audit's one hash: 128 bits of XXH3 (xxHash, https://xxhash.com), which is fast and well spread, and no
-// proof against somebody who wants two texts to collide: relays of a fleet trust each other that far.
+// 128-bit XXH3 hash (xxHash, https://xxhash.com) for the consistency check. It is fast and well distributed
+// but not collision-resistant against an attacker; relays of a fleet trust each other to that extent.
 #pragma once
 
 #include <compare>
@@ -16,26 +16,26 @@
 };
 
 Hash hashOf(std::string_view bytes);
-// Of a list of hashes in their order: a node of a tree over its children. O(size).
+// Hash of a list of hashes in order, for a tree node over its children. O(size).
 Hash hashOf(const std::vector<Hash>& children);
-// The first of its digits, for a line of the log: enough to tell versions of one fleet apart.
+// The leading digits for log lines; enough to distinguish the versions within a fleet.
 std::string shortText(const Hash& hash);
 
-// Random numbers that are the same at every relay: the i-th is the hash of the seed and i, and no library's
-// distribution is asked. Whole numbers, and fractions of 53 bits, which are exact.
-class Draws {
+// Pseudo-random numbers that are equal on every relay: the i-th is the hash of the seed and i. Distributions
+// of the standard library are avoided, as they differ between implementations. Integers only.
+class DeterministicRandom {
  public:
-  explicit Draws(const Hash& seed) : seed_(seed) {}
-  Draws(const Hash& seed, std::string_view purpose);
+  explicit DeterministicRandom(const Hash& seed) : seed_(seed) {}
+  DeterministicRandom(const Hash& seed, std::string_view purpose);
   std::uint64_t next();
-  // From 0 to `n` - 1; `n` is above 0 and far below 2^32.
+  // A number from 0 to `n` - 1; `n` must be positive and far below 2^32.
   int below(int n) { return static_cast<int>((next() >> 32) * static_cast<std::uint64_t>(n) >> 32); }
   int between(int low, int high) { return low + below(high - low + 1); }
   bool chance(int percent) { return below(100) < percent; }
 
  private:
   Hash seed_;
-  std::uint64_t drawn_ = 0;
+  std::uint64_t counter_ = 0;
 };
 
 }  // namespace myrtleloft
--- a/src/audit/module_cases.h
+++ b/src/audit/module_cases.h
@@ -1,6 +1,7 @@
-// The decision module's cases: a fresh module among endpoints, messages and troubles that are drawn, for half
-// a minute of its time. Each case has a common trouble of its own (calm, short of room, an outage, lost
-// calls), so that waits, cold returns, repeats, doubts and refusals all come up.
+// Generated cases for the decision module: each runs a new module instance against random endpoints, requests
+// and faults for half a minute of simulated time. Each case has its own fault profile (none, rejections, an
+// outage, timeouts), so that queueing, slow start, retries, ambiguous attempts and rejections are all
+// covered.
 #pragma once
 
 #include <functional>
@@ -14,26 +15,26 @@
 
 namespace myrtleloft {
 
-// The module as the cases see it: a program that was built otherwise can be put in its place.
-class PlayedModule {
+// Interface of the decision module for cases, so that tests can use a differently built module.
+class DecisionModule {
  public:
-  virtual ~PlayedModule() = default;
+  virtual ~DecisionModule() = default;
   virtual std::vector<Action> onBatch(double nowMs, const std::vector<Event>& events) = 0;
 };
-using ModuleMaker = std::function<std::unique_ptr<PlayedModule>(const Settings&)>;
-std::unique_ptr<PlayedModule> ownModule(const Settings& settings);
+using ModuleFactory = std::function<std::unique_ptr<DecisionModule>(const Settings&)>;
+std::unique_ptr<DecisionModule> makeOwnModule(const Settings& settings);
 
-// Of two steps of a module: the batch, and the first action that differs.
+// Describes the input batch of two steps and their first different action.
 StepDifference moduleDifference(const CaseStep& here, const CaseStep& there);
 
 class ModuleCases : public CaseFamily {
  public:
   static constexpr std::size_t kCases = 128, kSteps = 48;
-  // Of the real list, cases use up to so many endpoints: those whose uids have the lowest hashes.
-  static constexpr std::size_t kMostReal = 64;
+  // Maximum number of endpoints of the real list that cases use: those whose uids have the lowest hashes.
+  static constexpr std::size_t kMaxRealEndpoints = 64;
 
   ModuleCases(const Settings& settings, const EndpointTable::Endpoints& endpoints,
-              ModuleMaker make = ownModule);
+              ModuleFactory make = makeOwnModule);
 
   const char* name() const override { return "module"; }
   std::size_t cases() const override { return kCases; }
@@ -44,8 +45,8 @@
 
  private:
   Settings settings_;
-  std::vector<EndpointInfo> real_;
-  ModuleMaker make_;
+  std::vector<EndpointInfo> realEndpoints_;
+  ModuleFactory factory_;
 };
 
 }  // namespace myrtleloft
--- a/src/audit/own_decisions.h
+++ b/src/audit/own_decisions.h
@@ -1,11 +1,11 @@
-// What this relay decides for the version of the rules that it has: plays its cases in slices, keeps the tree
-// of their hashes, and plays a single case anew where somebody wants to see its steps.
+// The decisions of this relay for its current version of the rules: runs the cases in slices, keeps the tree
+// of their hashes, and replays a single case when its steps are requested.
 //
 //   OwnDecisions own;
-//   own.become(nowMs, version, rev, cases);     // a new version: all is played anew
-//   own.play(20);                               // so many steps at most
+//   own.setRules(nowMs, version, revision, cases);  // a new version restarts all cases
+//   own.play(20);                                   // runs at most 20 steps
 //
-// No I/O, no clock; nothing of it touches the module that serves traffic.
+// No I/O and no clock; independent of the module instance that serves traffic.
 #pragma once
 
 #include <array>
@@ -24,9 +24,10 @@
 
 class OwnDecisions {
  public:
-  // `cases` are drawn from version.digest(). The same version again changes nothing. O(1).
-  void become(double nowMs, const RulesVersion& version, std::int64_t listRev,
-              std::shared_ptr<const CaseSet> cases);
+  // `cases` must be generated from version.digest(). Has no effect if the version is unchanged, except on
+  // listRev(). O(1).
+  void setRules(double nowMs, const RulesVersion& version, std::int64_t listRev,
+                std::shared_ptr<const CaseSet> cases);
   bool known() const { return cases_ != nullptr; }
   const RulesVersion& version() const { return version_; }
   Hash digest() const { return cases_->version(); }
@@ -34,47 +35,51 @@
   const HashTree& tree() const { return tree_; }
   const CaseSet& cases() const { return *cases_; }
   double heldSinceMs(RulesPart part) const { return heldSince_[static_cast<std::size_t>(part)]; }
-  // Whether that part was this at any time since then; also where it is no more known (kPast changes back).
-  bool hadSince(RulesPart part, const Hash& what, double sinceMs) const;
+  // Whether the part had this digest at any time since `sinceMs`. Also true if the history, which holds the
+  // last kMaxFormerDigests changes, does not reach back that far.
+  bool hasHeldSince(RulesPart part, const Hash& digest, double sinceMs) const;
 
-  // Plays up to `steps`, those that are wanted first; how many it played: fewer, where nothing is left.
+  // Runs up to `steps` steps, those of a requested replay first, and returns how many were run.
   std::size_t play(std::size_t steps);
-  // Asks for all steps of one case. One at a time: another one takes its place.
-  void want(std::size_t number);
-  bool wants() const { return wanted_.has_value() && !again_.done; }
-  // nullptr: not wanted, or not yet played.
+  // Requests a replay of one case that keeps its steps. There is one at a time; a request replaces a finished
+  // one and is ignored while another is running.
+  void requestReplay(std::size_t number);
+  bool replayPending() const { return requestedCase_.has_value() && !replay_.done; }
+  // Returns nullptr if the case was not requested or its replay is not finished.
   const std::vector<CaseStep>* steps(std::size_t number) const;
-  // A case that came out otherwise when it was played again here: this program does not decide the same
-  // twice. Told once a version.
-  std::optional<std::size_t> takeUnsteady() { return std::exchange(unsteady_, std::nullopt); }
+  // A case whose replay on this relay gave a different result, which shows that this program is
+  // nondeterministic. Reported once per version.
+  std::optional<std::size_t> takeNondeterministicCase() {
+    return std::exchange(nondeterministicCase_, std::nullopt);
+  }
 
  private:
-  static constexpr std::size_t kPast = 32;
-  struct Past {
+  static constexpr std::size_t kMaxFormerDigests = 32;
+  struct FormerDigest {
     RulesPart part;
-    Hash what;
+    Hash digest;
     double untilMs = 0;
   };
-  struct Again {
+  struct Replay {
     std::unique_ptr<CaseRun> run;
     std::vector<CaseStep> steps;
     bool done = false;
   };
   bool playNext();
-  bool playAgain();
+  bool replayNext();
 
   RulesVersion version_;
   std::int64_t listRev_ = 0;
   std::array<double, kRulesParts> heldSince_{};
-  std::deque<Past> past_;
-  double forgottenMs_ = -1;  // what was before is not known
+  std::deque<FormerDigest> formerDigests_;
+  double historyStartMs_ = -1;  // earlier digests are not known
   std::shared_ptr<const CaseSet> cases_;
   HashTree tree_{0};
   std::unique_ptr<CaseRun> run_;
   std::vector<Hash> runSteps_;
-  std::optional<std::size_t> wanted_, unsteady_;
-  bool unsteadyTold_ = false;
-  Again again_;
+  std::optional<std::size_t> requestedCase_, nondeterministicCase_;
+  bool nondeterminismReported_ = false;
+  Replay replay_;
 };
 
 }  // namespace myrtleloft
--- a/src/audit/recorder.cpp
+++ b/src/audit/recorder.cpp
@@ -9,17 +9,17 @@
 
 template <typename Archive>
 void serialize(Archive& ar, CaseStep& step) {
-  ar(step.asked, step.did);
+  ar(step.input, step.output);
 }
 template <typename Archive>
 void serialize(Archive& ar, TrafficWindow& w) {
-  ar(w.seed, w.me, w.zone, w.steps);
+  ar(w.seed, w.instanceIndex, w.zone, w.steps);
 }
 
 namespace {
 
-constexpr std::size_t kHead = sizeof(std::uint64_t) + 2 * sizeof(int) + sizeof(std::uint32_t);
-constexpr std::size_t kStepHead = 2 * sizeof(std::uint32_t);
+constexpr std::size_t kWindowHeaderBytes = sizeof(std::uint64_t) + 2 * sizeof(int) + sizeof(std::uint32_t);
+constexpr std::size_t kStepHeaderBytes = 2 * sizeof(std::uint32_t);
 
 }  // namespace
 
@@ -31,20 +31,20 @@
 }
 
 bool decode(std::string_view bytes, TrafficWindow& window) {
-  if (bytes.size() > kMostWindow) return false;
+  if (bytes.size() > kMaxWindowBytes) return false;
   try {
     BufferInputArchive in(bytes);
-    in(window.seed, window.me, window.zone);
+    in(window.seed, window.instanceIndex, window.zone);
     std::uint32_t size = 0;
     in(size);
-    if (size > kMostWindowSteps || window.me < 0) return false;
+    if (size > kMaxWindowSteps || window.instanceIndex < 0) return false;
     double lastMs = -1e300;
     for (; size > 0; --size) {
       CaseStep& step = window.steps.emplace_back();
       in(step);
       Batch batch;
       std::vector<Action> actions;
-      if (!decodeEvents(step.asked, batch) || batch.nowMs < lastMs || !decodeActions(step.did, actions))
+      if (!decodeEvents(step.input, batch) || batch.nowMs < lastMs || !decodeActions(step.output, actions))
         return false;
       lastMs = batch.nowMs;
     }
@@ -56,9 +56,9 @@
 
 void Recorder::begin(double nowMs, EndpointListEvent list) {
   window_ = {settings_.seed, settings_.instanceIndex, settings_.zone, {}};
-  bytes_ = kHead;
+  bytes_ = kWindowHeaderBytes;
   full_ = false;
-  shadow_ = make_(settings_);
+  shadow_ = factory_(settings_);
   std::vector<Event> first;
   first.emplace_back(std::move(list));
   feed(nowMs, first);
@@ -67,10 +67,11 @@
 void Recorder::feed(double nowMs, const std::vector<Event>& events) {
   if (!shadow_) return;
   CaseStep step;
-  step.asked = encodeEvents(nowMs, events);
-  if (bytes_ + step.asked.size() <= kMostWindow) step.did = encodeActions(shadow_->onBatch(nowMs, events));
-  const std::size_t size = kStepHead + step.asked.size() + step.did.size();
-  if (bytes_ + size > kMostWindow || window_.steps.size() == kMostWindowSteps) {
+  step.input = encodeEvents(nowMs, events);
+  if (bytes_ + step.input.size() <= kMaxWindowBytes)
+    step.output = encodeActions(shadow_->onBatch(nowMs, events));
+  const std::size_t size = kStepHeaderBytes + step.input.size() + step.output.size();
+  if (bytes_ + size > kMaxWindowBytes || window_.steps.size() == kMaxWindowSteps) {
     full_ = true;
     shadow_.reset();
     return;
@@ -88,26 +89,26 @@
   return bytes;
 }
 
-WindowPlay::WindowPlay(Settings settings, const ModuleMaker& make, TrafficWindow window)
+WindowReplay::WindowReplay(Settings settings, const ModuleFactory& make, TrafficWindow window)
     : window_(std::move(window)) {
   settings.seed = window_.seed;
-  settings.instanceIndex = window_.me;
+  settings.instanceIndex = window_.instanceIndex;
   settings.zone = window_.zone;
   module_ = make(settings);
 }
 
-bool WindowPlay::next() {
-  if (mine_ || at_ == window_.steps.size()) return false;
+bool WindowReplay::next() {
+  if (localStep_ || stepIndex_ == window_.steps.size()) return false;
   Batch batch;
   CaseStep step;
-  step.asked = window_.steps[at_].asked;
-  decodeEvents(step.asked, batch);
-  step.did = encodeActions(module_->onBatch(batch.nowMs, batch.events));
-  if (step.did != window_.steps[at_].did) {
-    mine_ = std::move(step);
+  step.input = window_.steps[stepIndex_].input;
+  decodeEvents(step.input, batch);
+  step.output = encodeActions(module_->onBatch(batch.nowMs, batch.events));
+  if (step.output != window_.steps[stepIndex_].output) {
+    localStep_ = std::move(step);
     return false;
   }
-  return ++at_ < window_.steps.size();
+  return ++stepIndex_ < window_.steps.size();
 }
 
 }  // namespace myrtleloft
--- a/src/audit/recorder.h
+++ b/src/audit/recorder.h
@@ -1,13 +1,14 @@
-// Windows of real traffic: a shadow of the module, fresh, is told the list and then all that the real one is
-// told, and what it did is kept for another relay to play. Nobody carries out what a shadow decides.
+// Records windows of real traffic: a new shadow instance of the decision module gets the endpoint list and
+// then every batch of the serving module. Its inputs and outputs are kept for a peer to replay; its actions
+// are not executed.
 //
-//   Recorder recorder(settings, ownModule);
+//   Recorder recorder(settings, makeOwnModule);
 //   recorder.begin(nowMs, list);
-//   recorder.feed(nowMs, events);                 // each batch, as the module had it
-//   if (recorder.full()) bytes = recorder.take(); // at most kMostWindow
+//   recorder.feed(nowMs, events);                  // each batch that the serving module handles
+//   if (recorder.full()) bytes = recorder.take();  // at most kMaxWindowBytes
 //
-// While a window is open, each batch is decided twice. Ids, keys and destinations of real messages are in it,
-// no bodies.
+// While a window is open, each batch is processed twice. A window contains the ids, keys and destinations of
+// real requests but no bodies.
 #pragma once
 
 #include <memory>
@@ -22,58 +23,60 @@
 
 namespace myrtleloft {
 
-inline constexpr std::size_t kMostWindow = 96 * 1024;  // of what is in it, as bytes
-inline constexpr std::size_t kMostWindowSteps = 4096;
+inline constexpr std::size_t kMaxWindowBytes = 96 * 1024;  // encoded size
+inline constexpr std::size_t kMaxWindowSteps = 4096;
 
+// A recorded window: the settings specific to the recording relay, and the steps.
 struct TrafficWindow {
-  std::uint64_t seed = 0;  // the recording relay's own
-  int me = 0, zone = 0;
+  std::uint64_t seed = 0;  // of the recording relay, as are the next two
+  int instanceIndex = 0, zone = 0;
   std::vector<CaseStep> steps;
 };
 std::string encode(const TrafficWindow& window);
-// false: too long, too short, or a step that is no batch with actions, or goes back in time.
+// Returns false if the bytes are too long or truncated, a step is not a valid batch with actions, or its time
+// is before that of the previous step.
 bool decode(std::string_view bytes, TrafficWindow& window);
 
 class Recorder {
  public:
-  Recorder(const Settings& settings, ModuleMaker make) : settings_(settings), make_(std::move(make)) {}
+  Recorder(const Settings& settings, ModuleFactory make) : settings_(settings), factory_(std::move(make)) {}
 
-  // A list that does not fit is none: nothing is recorded.
+  // Starts a window. If the list does not fit, nothing is recorded.
   void begin(double nowMs, EndpointListEvent list);
   void feed(double nowMs, const std::vector<Event>& events);
   bool recording() const { return shadow_ != nullptr; }
-  // The next batch did not fit any more: it is not in the window, and the shadow is gone.
+  // True once a batch did not fit; that batch is not in the window, and recording has stopped.
   bool full() const { return full_; }
-  // What was recorded so far; the window is over.
+  // Ends the window and returns it encoded.
   std::string take();
   std::size_t batches() const { return window_.steps.size(); }
 
  private:
   Settings settings_;
-  ModuleMaker make_;
-  std::unique_ptr<PlayedModule> shadow_;
+  ModuleFactory factory_;
+  std::unique_ptr<DecisionModule> shadow_;
   TrafficWindow window_;
   std::size_t bytes_ = 0;
   bool full_ = false;
 };
 
-// Another relay's window, played here a step at a time.
-class WindowPlay {
+// Replays a window of a peer on this relay, one step at a time.
+class WindowReplay {
  public:
-  // `settings` are the own ones; what is each relay's own comes with the window.
-  WindowPlay(Settings settings, const ModuleMaker& make, TrafficWindow window);
-  // One step. true: there is more to play, and it was the same so far.
+  // `settings` are those of this relay; the values specific to the recording relay come from the window.
+  WindowReplay(Settings settings, const ModuleFactory& make, TrafficWindow window);
+  // Runs one step. Returns true if all results were equal so far and more steps are left.
   bool next();
-  // The step that came out otherwise, as it did here.
-  const std::optional<CaseStep>& mine() const { return mine_; }
-  const CaseStep& theirs() const { return window_.steps[at_]; }
-  std::size_t step() const { return at_; }
+  // The local result of the step that diverged, if any.
+  const std::optional<CaseStep>& local() const { return localStep_; }
+  const CaseStep& remote() const { return window_.steps[stepIndex_]; }
+  std::size_t step() const { return stepIndex_; }
 
  private:
   TrafficWindow window_;
-  std::unique_ptr<PlayedModule> module_;
-  std::size_t at_ = 0;
-  std::optional<CaseStep> mine_;
+  std::unique_ptr<DecisionModule> module_;
+  std::size_t stepIndex_ = 0;
+  std::optional<CaseStep> localStep_;
 };
 
 }  // namespace myrtleloft
--- a/src/audit/rules_version.cpp
+++ b/src/audit/rules_version.cpp
@@ -9,8 +9,8 @@
 namespace myrtleloft {
 namespace {
 
-// Relays with other cases, or another way to play them, have nothing to compare. To be raised with them.
-constexpr int kCasesForm = 1;
+// Increment when the cases or the way they are run change, as the results are then not comparable.
+constexpr int kCasesFormatVersion = 1;
 
 template <typename... Fields>
 std::string bytesOf(const Fields&... fields) {
@@ -67,10 +67,12 @@
   return bytesOf(std::string(uid), e.zone, e.kind, e.destination, e.state, e.rating);
 }
 
-Hash programDigest(std::string_view stamp) { return hashOf(bytesOf(std::string(stamp), kCasesForm)); }
+Hash programDigest(std::string_view stamp) {
+  return hashOf(bytesOf(std::string(stamp), kCasesFormatVersion));
+}
 
 Hash listDigest(const EndpointTable::Endpoints& endpoints) {
-  std::vector<Hash> entries;  // of a map by uid, and so in its order
+  std::vector<Hash> entries;  // ordered by uid, as the map is
   entries.reserve(endpoints.size());
   for (const auto& [uid, endpoint] : endpoints) entries.push_back(hashOf(canonicalEntry(uid, endpoint.info)));
   return hashOf(entries);
--- a/src/audit/rules_version.h
+++ b/src/audit/rules_version.h
@@ -1,10 +1,11 @@
-// What decides, as four digests, so that where two relays differ they know in which part.
+// The version of everything that determines decisions, as four digests, so that a difference between two
+// relays can be attributed to one part.
 //
 //   RulesVersion version = rulesVersion(decisionCode(), settings, operatorFile, endpoints);
-//   if (const auto part = firstDifference(mine, theirs)) log(nameOf(*part));
+//   if (const auto part = firstDifference(local, remote)) log(nameOf(*part));
 //
-// Each digest is over a canonical form: the same rules give the same bytes, whatever the order in which a
-// file or a list names them. Floating-point numbers go in by their bits. O(size); safe for several threads.
+// Each digest covers a canonical form: equal rules give equal bytes whatever the order of a file or list.
+// Floating-point numbers are included bit by bit. O(size); safe for concurrent use.
 #pragma once
 
 #include <array>
@@ -20,11 +21,13 @@
 
 namespace myrtleloft {
 
-// In the order in which a difference is told: where the program differs, the rest may well follow from it.
+// In the order in which differences are reported: a different program may cause differences in the other
+// parts.
 enum class RulesPart : std::uint8_t { kProgram, kSettings, kRules, kList };
 inline constexpr std::size_t kRulesParts = 4;
 const char* nameOf(RulesPart part);
 
+// One digest for each part of the rules.
 struct RulesVersion {
   std::array<Hash, kRulesParts> parts{};
   const Hash& of(RulesPart part) const { return parts[static_cast<std::size_t>(part)]; }
@@ -32,20 +35,22 @@
   friend bool operator==(const RulesVersion&, const RulesVersion&) = default;
 };
 
-// nullopt: they are the same.
+// Returns std::nullopt if the versions are equal.
 std::optional<RulesPart> firstDifference(const RulesVersion& a, const RulesVersion& b);
 
-// The decision code of this program as its build stamped it: a digest of the files that `policy` of
-// deploy/balancer.toml names, of src/state/ and dispatcher.h, of the compiler and of its flags.
+// Build stamp of the decision code: a digest of the files that `policy` in deploy/balancer.toml names, of
+// src/state/ and dispatcher.h, of the compiler and of its flags.
 std::string_view decisionCode();
 
-// Without what is each relay's own by nature: its seed, its number and its zone.
+// Excludes the values specific to one relay: seed, instance index and zone.
 std::string canonicalSettings(const Settings& settings);
-// What decides of the operator's file: durability, membership, quotas, copies and the audit itself. Not what
-// a machine is given (sizes of segments and slices), whom to ask (directories, and how often), nor the log.
+// The parts of the operator's file that affect decisions: durability, endpoint list, quotas, copies and the
+// audit interval. Excludes the resources of the machine (segment and slice sizes), discovery addresses and
+// intervals, and logging.
 std::string canonicalRules(const OperatorFile& file);
-// One endpoint by uid, place, state and rating; not its address, which may be told by different names, nor
-// when it was told, nor the number behind a uid that came again, which counts from the relay's own start.
+// One endpoint by uid, zone, kind, destination, state and rating. Excludes its address, which may be given
+// under different names, the time it was received, and the suffix of a reused uid, which is counted per
+// process.
 std::string canonicalEntry(std::string_view uid, const EndpointInfo& entry);
 
 Hash programDigest(std::string_view stamp);
--- a/src/audit/settings_archive.h
+++ b/src/audit/settings_archive.h
@@ -1,5 +1,5 @@
-// The fields of the module's settings for cereal. A field that is added to Settings and not here would decide
-// without being compared: the size is checked, so that whoever adds one comes by.
+// Serialization of the decision module's settings with cereal. A field added to Settings but not here would
+// affect decisions without being compared; the size checks remind the author of such a field.
 #pragma once
 
 #include "journal/archive.h"
@@ -7,8 +7,9 @@
 
 namespace myrtleloft {
 
-static_assert(sizeof(void*) != 8 || sizeof(ClassSettings) == 112, "a field of ClassSettings to be compared?");
-static_assert(sizeof(void*) != 8 || sizeof(Settings) == 256, "a field of Settings to be compared?");
+static_assert(sizeof(void*) != 8 || sizeof(ClassSettings) == 112,
+              "add new fields of ClassSettings to serialize()");
+static_assert(sizeof(void*) != 8 || sizeof(Settings) == 256, "add new fields of Settings to serialize()");
 
 template <typename Archive>
 void serialize(Archive& ar, ClassSettings& c) {
--- a/src/audit/step_codec.h
+++ b/src/audit/step_codec.h
@@ -1,15 +1,13 @@
-// What the module was told and what it did, as bytes and as a line of text.
+// Encodes the input and output of the decision module as bytes, and describes them as text for the log.
 //
-//   std::string told = encodeEvents(nowMs, events);
+//   std::string input = encodeEvents(nowMs, events);
 //   Batch batch;
-//   if (!decodeEvents(told, batch)) ...         // not ours: too short, too long, or with values that nobody
-//   says
+//   if (!decodeEvents(input, batch)) ...  // truncated, too long, or with invalid values
 //
-// Floating-point numbers go in by their bits, never rounded: where two builds differ in the last bit of a
-// time, one of them will one day be on the other side of a comparison, and then they send to different
-// endpoints. By the bits it shows at the first call. Times and ids are the case's, the same at both. Decoded
-// numbers are finite, enumerations within their names, and a list holds no more than its bytes can say.
-// O(size).
+// Floating-point numbers are encoded bit by bit and never rounded. If two builds differ in the last bit of a
+// time, sooner or later a comparison will give different results and they will send to different endpoints;
+// the bits show this at the first call. Times and ids come from the case and are equal on both relays.
+// Decoded numbers are finite, enumerations valid, and list sizes limited by the remaining bytes. O(size).
 #pragma once
 
 #include <string>
@@ -30,8 +28,8 @@
 bool decodeEvents(std::string_view bytes, Batch& batch);
 bool decodeActions(std::string_view bytes, std::vector<Action>& actions);
 
-// No longer than this; what is more is cut.
-inline constexpr std::size_t kLongestTold = 200;
+// Maximum length of a text; longer ones are truncated.
+inline constexpr std::size_t kMaxTextLength = 200;
 std::string textOf(const Batch& batch);
 std::string textOf(const Action& action);
 
--- a/src/audit/version_watch.h
+++ b/src/audit/version_watch.h
@@ -1,9 +1,10 @@
-// Whether another relay has the same version of the rules, and for how long it has not, part by part.
+// Tracks for each part of the rules whether a peer has the same version, and for how long it has not.
 //
-// Versions change under way: what another had when its word left may be what this relay had until now, or
-// will have in a moment. A word counts as *other* only where it answers a word of this relay, this relay had
-// nothing of the kind since it sent that one, and does not come to have it before the next word either. So a
-// list that changes all the time is no sign of anything, and one that is a rev behind at each word shows.
+// Versions change while messages are in flight: a digest report may carry a version that this relay had until
+// just now or will have in a moment. A report counts as different only if it acknowledges a report of this
+// relay, this relay has not had that version since it sent the acknowledged report, and it does not get that
+// version before the next report either. Therefore an endpoint list that changes all the time is not
+// reported, but a peer that is one revision behind in every report is.
 #pragma once
 
 #include <array>
@@ -19,24 +20,24 @@
 
 class VersionWatch {
  public:
-  // `sentMs`: when the word left here that `told` is the answer to; not known: it can only show that both are
-  // equal.
-  void onTold(double nowMs, std::optional<double> sentMs, const std::string& peer, const AuditTold& told,
-              const OwnDecisions& own, const AuditTuning& tuning, AuditCounters& counters,
-              std::vector<AuditReport>& reports);
-  // The first part that was other at two words in a row; it stands until both are equal.
-  std::optional<RulesPart> differing() const;
+  // `sentMs` is when the report that `digestReport` acknowledges was sent. If it is not known, the digest
+  // report can only show that the versions are equal.
+  void onDigestReport(double nowMs, std::optional<double> sentMs, const std::string& peer,
+                      const DigestReport& digestReport, const OwnDecisions& own, const AuditTuning& tuning,
+                      AuditCounters& counters, std::vector<AuditReport>& reports);
+  // The first part that differed in two consecutive reports, until it is equal again.
+  std::optional<RulesPart> differingPart() const;
 
  private:
   struct Part {
-    std::optional<Hash> seen;  // at the last word that was other
-    double seenMs = 0;
+    std::optional<Hash> lastDifferent;  // the digest in the last report that differed
+    double lastDifferentMs = 0;
     std::optional<double> sinceMs;
-    int times = 0;  // beyond the first
-    bool told = false, late = false;
+    int repeats = 0;  // number of differing reports after the first
+    bool reported = false, late = false;
   };
   std::array<Part, kRulesParts> parts_;
-  double wordMs_ = 0;  // the last one that was an answer
+  double lastReportMs_ = 0;  // time of the last report that acknowledged one of ours
 };
 
 }  // namespace myrtleloft
--- a/tests/audit_cases_test.cpp
+++ b/tests/audit_cases_test.cpp
@@ -1,5 +1,5 @@
-// Cases are the same each time they are drawn, reach what the module decides, and go through bytes unharmed;
-// bytes of others are refused.
+// Generated cases are reproducible, cover all kinds of events and actions, and are encoded without loss;
+// invalid bytes are rejected.
 #include <doctest/doctest.h>
 
 #include <limits>
@@ -29,7 +29,7 @@
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](const CaseStep& x, const CaseStep& y) { return x.digest() == y.digest(); });
 }
-std::string windowOf(std::size_t batches, const ModuleMaker& make = ownModule) {
+std::string windowOf(std::size_t batches, const ModuleFactory& make = makeOwnModule) {
   Recorder recorder(lab::moduleSettings(7), make);
   recorder.begin(0, {ListUpdateKind::kSnapshot, {{"a", 0, 0, 1, EndpointState::kRunning, 9}}});
   for (std::size_t i = 1; i <= batches && recorder.recording(); ++i) {
@@ -60,20 +60,20 @@
   for (std::size_t i = 0; i < cases.cases(); ++i)
     for (const CaseStep& step : stepsOf(cases, i)) {
       Batch batch;
-      std::vector<Action> did;
-      REQUIRE(decodeEvents(step.asked, batch));
-      REQUIRE(decodeActions(step.did, did));
-      CHECK(encodeEvents(batch.nowMs, batch.events) == step.asked);
-      CHECK(encodeActions(did) == step.did);
+      std::vector<Action> output;
+      REQUIRE(decodeEvents(step.input, batch));
+      REQUIRE(decodeActions(step.output, output));
+      CHECK(encodeEvents(batch.nowMs, batch.events) == step.input);
+      CHECK(encodeActions(output) == step.output);
       for (const Event& e : batch.events) {
         ++events[e.index()];
         if (const auto* o = std::get_if<OutcomeEvent>(&e)) ++outcomes[static_cast<std::size_t>(o->outcome)];
       }
-      for (const Action& a : did) ++actions[a.index()];
+      for (const Action& a : output) ++actions[a.index()];
     }
   for (const int n : events) CHECK(n > 0);
   for (std::size_t i = 0; i < actions.size(); ++i) {
-    const bool never = i == 3;  // these settings allow no calling off
+    const bool never = i == 3;  // these settings do not allow cancelling
     CHECK_MESSAGE((actions[i] > 0) != never, i);
   }
   for (std::size_t i = 0; i < outcomes.size(); ++i)
@@ -87,7 +87,7 @@
   int refused = 0;
   for (int i = 0; i < 4000; ++i) {
     const auto steps = stepsOf(cases, random() % 8);
-    std::string bytes = steps[random() % steps.size()].asked, whole = window;
+    std::string bytes = steps[random() % steps.size()].input, whole = window;
     bytes[random() % bytes.size()] ^= static_cast<char>(1 << random() % 8);
     whole[random() % whole.size()] ^= static_cast<char>(1 << random() % 8);
     if (random() % 4 == 0) bytes.resize(random() % bytes.size());
@@ -106,34 +106,34 @@
   CHECK_FALSE(decodeEvents(encodeEvents(0, {e}), batch));
   CHECK_FALSE(decodeEvents(encodeEvents(0, {}) + "x", batch));
   AuditMessage message;
-  std::string told = encode(AuditMessage());
-  CHECK(told.size() == 165);
-  CHECK(decode(told, message));
-  told[20] ^= 1;
-  CHECK_FALSE(decode(told, message));
+  std::string encoded = encode(AuditMessage());
+  CHECK(encoded.size() == 165);
+  CHECK(decode(encoded, message));
+  encoded[20] ^= 1;
+  CHECK_FALSE(decode(encoded, message));
   CHECK_FALSE(decode("", message));
-  CHECK_FALSE(decode(std::string(kMostAuditMessage + 1, '\0'), message));
+  CHECK_FALSE(decode(std::string(kMaxAuditMessageBytes + 1, '\0'), message));
 }
 
 TEST_CASE("a window of traffic is bounded, and plays the same elsewhere") {
   const std::string bytes = windowOf(20000);
-  CHECK(bytes.size() <= kMostWindow);
-  CHECK(bytes.size() > kMostWindow / 2);
+  CHECK(bytes.size() <= kMaxWindowBytes);
+  CHECK(bytes.size() > kMaxWindowBytes / 2);
   TrafficWindow window;
   REQUIRE(decode(bytes, window));
   CHECK(encode(window) == bytes);
-  WindowPlay play(lab::moduleSettings(1), ownModule, window);
-  while (play.next()) {
+  WindowReplay replay(lab::moduleSettings(1), makeOwnModule, window);
+  while (replay.next()) {
   }
-  CHECK_FALSE(play.mine());
-  CHECK(play.step() == window.steps.size());
+  CHECK_FALSE(replay.local());
+  CHECK(replay.step() == window.steps.size());
   Settings other = lab::moduleSettings(1);
-  other.classes[0].latencyObjectiveMs = 100;  // the time that a call may take follows from it
-  WindowPlay differs(other, ownModule, window);
-  while (differs.next()) {
+  other.classes[0].latencyObjectiveMs = 100;  // changes the timeout of calls
+  WindowReplay diverging(other, makeOwnModule, window);
+  while (diverging.next()) {
   }
-  REQUIRE(differs.mine());
-  CHECK(moduleDifference(*differs.mine(), differs.theirs()).here.find("send m") == 0);
+  REQUIRE(diverging.local());
+  CHECK(moduleDifference(*diverging.local(), diverging.remote()).here.find("send m") == 0);
 }
 
 TEST_CASE("the share of the core follows from what steps cost") {
@@ -142,8 +142,8 @@
   double spentMs = 0;
   for (double nowMs = 0; nowMs <= 600000; nowMs += 100) {
     const std::size_t steps = share.steps(nowMs);
-    const double tookMs = static_cast<double>(steps) * 0.2;  // four times what was thought
-    share.took(steps, tookMs);
+    const double tookMs = static_cast<double>(steps) * 0.2;  // four times the initial estimate
+    share.recordSpent(steps, tookMs);
     played += steps;
     spentMs += tookMs;
   }
--- a/tests/audit_fleet.h
+++ b/tests/audit_fleet.h
@@ -1,5 +1,5 @@
-// A fleet of audits in virtual time: relays with rules of their own, and a network between them that loses,
-// delays, doubles, reorders and spoils what it is given.
+// A simulated fleet of consistency checkers in virtual time. Each relay has its own rules, and the network
+// loses, delays, duplicates, reorders and corrupts messages.
 #pragma once
 
 #include <algorithm>
@@ -14,44 +14,47 @@
 
 namespace myrtleloft::testing {
 
-inline int& plansAsked() {
+// Number of random plans to run; set by --plans.
+inline int& planCount() {
   static int plans = 100;
   return plans;
 }
 
-// Cases that cost nothing: what a program does is a hash of what it was asked and of the program's number.
-class ToyCases : public CaseFamily {
+// Cheap cases: the output of a step is a hash of its input and of the program's number.
+class FakeCases : public CaseFamily {
  public:
   static constexpr std::size_t kCases = 40, kSteps = 5;
-  // `odd`: the case and step at which it does otherwise than its version says; -1: none.
-  ToyCases(int program, int oddCase, int oddStep) : program_(program), oddCase_(oddCase), oddStep_(oddStep) {}
-  const char* name() const override { return "toy"; }
+  // `divergentCase` and `divergentStep` give the one step with a different output; -1 for none.
+  FakeCases(int program, int divergentCase, int divergentStep)
+      : program_(program), divergentCase_(divergentCase), divergentStep_(divergentStep) {}
+  const char* name() const override { return "fake"; }
   std::size_t cases() const override { return kCases; }
   std::unique_ptr<CaseRun> begin(const Hash& version, std::size_t index) const override {
     struct Run : CaseRun {
-      Run(Draws d, int p, int s) : draws(std::move(d)), program(p), oddStep(s) {}
+      Run(DeterministicRandom r, int p, int s) : random(std::move(r)), program(p), divergentStep(s) {}
       bool next(CaseStep& step) override {
         if (at == static_cast<int>(kSteps)) return false;
-        step.asked = std::to_string(draws.next());
-        step.did = shortText(hashOf(step.asked + std::to_string(program) + (at == oddStep ? "odd" : "")));
+        step.input = std::to_string(random.next());
+        step.output =
+            shortText(hashOf(step.input + std::to_string(program) + (at == divergentStep ? "odd" : "")));
         ++at;
         return true;
       }
-      Draws draws;
-      int program, oddStep, at = 0;
+      DeterministicRandom random;
+      int program, divergentStep, at = 0;
     };
-    return std::make_unique<Run>(Draws(version, std::to_string(index)), program_,
-                                 static_cast<int>(index) == oddCase_ ? oddStep_ : -1);
+    return std::make_unique<Run>(DeterministicRandom(version, std::to_string(index)), program_,
+                                 static_cast<int>(index) == divergentCase_ ? divergentStep_ : -1);
   }
   StepDifference difference(const CaseStep& here, const CaseStep& there) const override {
-    return {here.asked, here.did, there.did};
+    return {here.input, here.output, there.output};
   }
 
  private:
-  int program_, oddCase_, oddStep_;
+  int program_, divergentCase_, divergentStep_;
 };
 
-// What a relay decides by.
+// Version numbers of the parts of a relay's rules.
 struct Rules {
   int program = 1, settings = 1, rules = 1;
   std::int64_t rev = 1;
@@ -62,30 +65,32 @@
 };
 using CasesOf = std::function<std::shared_ptr<const CaseSet>(const std::string& relay, const Hash& version)>;
 
+// Fault rates of the simulated network.
 struct Network {
-  int lostPercent = 0, doubledPercent = 0, spoiltPercent = 0, delayMs = 0;
+  int lossPercent = 0, duplicatePercent = 0, corruptPercent = 0, delayMs = 0;
 };
 
 class AuditFleet {
  public:
-  struct Said {
+  // A report and the relay that made it.
+  struct ReceivedReport {
     double atMs;
     std::string by;
     AuditReport report;
   };
-  AuditFleet(std::size_t relays, const Hash& seed, const AuditTuning& tuning, std::size_t stepsASecond = 60)
-      : draws_(seed), tuning_(tuning), stepsASecond_(stepsASecond) {
+  AuditFleet(std::size_t relays, const Hash& seed, const AuditTuning& tuning, std::size_t stepsPerSecond = 60)
+      : random_(seed), tuning_(tuning), stepsPerSecond_(stepsPerSecond) {
     for (std::size_t i = 0; i < relays; ++i) names_.push_back("n" + std::to_string(i + 1));
   }
 
-  // Starts, or starts anew, a relay with these rules; links come up with all that run.
+  // Starts or restarts a relay with these rules and connects it to all running relays.
   void start(const std::string& name, const RulesVersion& version, std::int64_t rev,
              std::shared_ptr<const CaseSet> cases) {
     stop(name);
     Relay& relay = relays_[name];
     relay.self = {17, ++starts_[name]};
-    relay.audit = std::make_unique<Audit>(tuning_, relay.self, draws_.next());
-    become(name, version, rev, std::move(cases));
+    relay.audit = std::make_unique<ConsistencyChecker>(tuning_, relay.self, random_.next());
+    setRules(name, version, rev, std::move(cases));
     for (auto& [other, peer] : relays_)
       if (other != name && peer.audit) link(name, other);
   }
@@ -95,10 +100,11 @@
     relays_.erase(at);
     for (auto& [other, peer] : relays_) peer.audit->onPeerDown(name);
   }
-  void become(const std::string& name, const RulesVersion& version, std::int64_t rev,
-              std::shared_ptr<const CaseSet> cases) {
+  void setRules(const std::string& name, const RulesVersion& version, std::int64_t rev,
+                std::shared_ptr<const CaseSet> cases) {
     relays_.at(name).audit->onRules(nowMs, version, rev, std::move(cases));
   }
+  // Disconnects two relays.
   void cut(const std::string& a, const std::string& b) {
     if (!relays_.count(a) || !relays_.count(b)) return;
     at(a).onPeerDown(b);
@@ -110,29 +116,29 @@
     at(b).onPeerUp({"fleet", a, "", relays_.at(a).self});
   }
 
-  // A second goes by.
+  // Advances the time by one second.
   void second() {
     nowMs += 1000;
-    while (!flying_.empty() && flying_.begin()->first <= nowMs) {
-      const auto [from, send] = std::move(flying_.begin()->second);
-      flying_.erase(flying_.begin());
+    while (!inFlight_.empty() && inFlight_.begin()->first <= nowMs) {
+      const auto [from, send] = std::move(inFlight_.begin()->second);
+      inFlight_.erase(inFlight_.begin());
       const auto to = relays_.find(send.peer);
       if (to == relays_.end()) continue;
-      Audit::Out out;
+      ConsistencyChecker::Out out;
       to->second.audit->onMessage(nowMs, from, send.payload, out);
-      takeUp(send.peer, out);
+      deliver(send.peer, out);
     }
     for (auto& [name, relay] : relays_) {
-      Audit::Out out = relay.audit->onTick(nowMs);
-      relay.audit->play(nowMs, stepsASecond_, out);
-      takeUp(name, out);
+      ConsistencyChecker::Out out = relay.audit->onTick(nowMs);
+      relay.audit->play(nowMs, stepsPerSecond_, out);
+      deliver(name, out);
     }
   }
   void seconds(int n) {
     for (; n > 0; --n) second();
   }
 
-  Audit& at(const std::string& name) { return *relays_.at(name).audit; }
+  ConsistencyChecker& at(const std::string& name) { return *relays_.at(name).audit; }
   bool runs(const std::string& name) const { return relays_.count(name) != 0; }
   const std::vector<std::string>& names() const { return names_; }
   bool all(AuditVerdict verdict) {
@@ -141,84 +147,86 @@
         if (a != b && at(a).verdict(nowMs, b) != verdict) return false;
     return true;
   }
-  const Said* find(AuditReport::Kind kind, const std::string& by = "", const std::string& of = "",
-                   const std::string& family = "") const {
-    for (const Said& s : said)
+  const ReceivedReport* find(AuditReport::Kind kind, const std::string& by = "", const std::string& of = "",
+                             const std::string& family = "") const {
+    for (const ReceivedReport& s : reports)
       if (s.report.kind == kind && (by.empty() || s.by == by) && (of.empty() || s.report.peer == of) &&
           (family.empty() || s.report.family == family))
         return &s;
     return nullptr;
   }
   std::size_t count(AuditReport::Kind kind) const {
-    return static_cast<std::size_t>(
-        std::count_if(said.begin(), said.end(), [&](const Said& s) { return s.report.kind == kind; }));
+    return static_cast<std::size_t>(std::count_if(
+        reports.begin(), reports.end(), [&](const ReceivedReport& s) { return s.report.kind == kind; }));
   }
-  void takeUp(const std::string& from, Audit::Out& out) {
-    for (AuditReport& report : out.reports) said.push_back({nowMs, from, std::move(report)});
+  // Stores the reports of relay `from` and puts its messages on the network.
+  void deliver(const std::string& from, ConsistencyChecker::Out& out) {
+    for (AuditReport& report : out.reports) reports.push_back({nowMs, from, std::move(report)});
     for (AuditSend& send : out.sends) {
       ++sent;
       bytes += send.payload.size();
-      if (draws_.chance(network.lostPercent)) continue;
-      const int copies = draws_.chance(network.doubledPercent) ? 2 : 1;
+      if (random_.chance(network.lossPercent)) continue;
+      const int copies = random_.chance(network.duplicatePercent) ? 2 : 1;
       for (int i = 0; i < copies; ++i) {
         AuditSend copy = send;
-        if (draws_.chance(network.spoiltPercent)) spoil(copy.payload);
-        const int late = draws_.chance(3) ? 10 * network.delayMs : network.delayMs;
-        flying_.emplace(nowMs + draws_.below(late + 1), std::make_pair(from, std::move(copy)));
+        if (random_.chance(network.corruptPercent)) corrupt(copy.payload);
+        const int late = random_.chance(3) ? 10 * network.delayMs : network.delayMs;
+        inFlight_.emplace(nowMs + random_.below(late + 1), std::make_pair(from, std::move(copy)));
       }
     }
   }
 
   double nowMs = 0;
   Network network;
-  std::vector<Said> said;
+  std::vector<ReceivedReport> reports;
   std::uint64_t sent = 0, bytes = 0;
 
  private:
-  // A bit of its bytes; or a field, with a check that fits.
-  void spoil(std::string& payload) {
+  // Flips a bit of the encoded message, or changes a field and encodes it with a valid checksum.
+  void corrupt(std::string& payload) {
     AuditMessage m;
     decode(payload, m);
-    const auto turn = [&](Hash& hash) { hash.low ^= 1ull << draws_.below(64); };
-    const int what = draws_.below(5);
-    auto* told = std::get_if<AuditTold>(&m.what);
-    auto* answer = std::get_if<AuditAnswer>(&m.what);
+    const auto flipBit = [&](Hash& hash) { hash.low ^= 1ull << random_.below(64); };
+    const int what = random_.below(5);
+    auto* digestReport = std::get_if<DigestReport>(&m.body);
+    auto* answer = std::get_if<AuditAnswer>(&m.body);
     if (what == 0) {
-      const auto at = static_cast<std::size_t>(draws_.below(static_cast<int>(payload.size())));
-      payload[at] = static_cast<char>(payload[at] ^ (1 << draws_.below(8)));
+      const auto at = static_cast<std::size_t>(random_.below(static_cast<int>(payload.size())));
+      payload[at] = static_cast<char>(payload[at] ^ (1 << random_.below(8)));
       return;
     }
     if (what == 1)
-      --(draws_.chance(50) ? m.from : m.to).start;
-    else if (told && what == 2)
-      turn(told->root);
-    else if (told && what == 3)
-      turn(told->version.parts[static_cast<std::size_t>(draws_.below(kRulesParts))]);
-    else if (told)
-      told->branches = static_cast<std::uint32_t>(draws_.next() >> draws_.between(32, 63));
+      --(random_.chance(50) ? m.from : m.to).start;
+    else if (digestReport && what == 2)
+      flipBit(digestReport->root);
+    else if (digestReport && what == 3)
+      flipBit(digestReport->version.parts[static_cast<std::size_t>(random_.below(kRulesParts))]);
+    else if (digestReport)
+      digestReport->branches = static_cast<std::uint32_t>(random_.next() >> random_.between(32, 63));
     else if (answer && what == 2 && !answer->children.empty())
-      turn(answer
-               ->children[static_cast<std::size_t>(draws_.below(static_cast<int>(answer->children.size())))]);
+      flipBit(
+          answer
+              ->children[static_cast<std::size_t>(random_.below(static_cast<int>(answer->children.size())))]);
     else if (answer && what == 3)
-      answer->did += "x";
+      answer->output += "x";
     else if (answer)
       answer->node.index ^= 1;
-    else if (auto* question = std::get_if<AuditQuestion>(&m.what))
-      question->node.level = static_cast<NodeLevel>(draws_.below(256));
+    else if (auto* question = std::get_if<AuditQuestion>(&m.body))
+      question->node.level = static_cast<NodeLevel>(random_.below(256));
     payload = encode(m);
   }
 
   struct Relay {
     Incarnation self;
-    std::unique_ptr<Audit> audit;
+    std::unique_ptr<ConsistencyChecker> audit;
   };
-  Draws draws_;
+  DeterministicRandom random_;
   AuditTuning tuning_;
-  std::size_t stepsASecond_;
+  std::size_t stepsPerSecond_;
   std::vector<std::string> names_;
   std::map<std::string, Relay> relays_;
   std::map<std::string, std::uint64_t> starts_;
-  std::multimap<double, std::pair<std::string, AuditSend>> flying_;
+  std::multimap<double, std::pair<std::string, AuditSend>> inFlight_;
 };
 
 }  // namespace myrtleloft::testing
--- a/tests/audit_planted_test.cpp
+++ b/tests/audit_planted_test.cpp
@@ -1,4 +1,4 @@
-// Differences planted in one relay of three: each is found, and named as what it is.
+// One of three relays has a deliberate difference; each kind must be found and reported as what it is.
 #include <doctest/doctest.h>
 
 #include "lab/module_site.h"
@@ -8,22 +8,22 @@
 using myrtleloft::testing::AuditFleet;
 
 namespace myrtleloft {
-extern "C" PlayedModule* auditVariant_constant(const Settings& settings);
-extern "C" PlayedModule* auditVariant_floats(const Settings& settings);
+extern "C" DecisionModule* auditVariant_constant(const Settings& settings);
+extern "C" DecisionModule* auditVariant_floats(const Settings& settings);
 }  // namespace myrtleloft
 
 namespace {
 
-// Endpoints of a destination in another order than the list names them.
-class OtherOrder : public PlayedModule {
+// Handles the endpoints of the list in reverse order.
+class ReversedEndpoints : public DecisionModule {
  public:
-  explicit OtherOrder(const Settings& settings) : module_(settings) {}
+  explicit ReversedEndpoints(const Settings& settings) : module_(settings) {}
   std::vector<Action> onBatch(double nowMs, const std::vector<Event>& events) override {
-    std::vector<Event> turned = events;
-    for (Event& e : turned)
+    std::vector<Event> reversed = events;
+    for (Event& e : reversed)
       if (auto* list = std::get_if<EndpointListEvent>(&e))
         std::reverse(list->entries.begin(), list->entries.end());
-    return module_.onBatch(nowMs, turned);
+    return module_.onBatch(nowMs, reversed);
   }
 
  private:
@@ -35,18 +35,18 @@
   Settings settings = lab::moduleSettings(1);
   OperatorFile rules;
   std::int64_t rev = 1;
-  ModuleMaker make = ownModule;
+  ModuleFactory make = makeOwnModule;
 };
 
 class Site {
  public:
-  explicit Site(std::size_t stepsASecond = 600) : fleet(3, {4, 4}, AuditTuning(), stepsASecond) {
+  explicit Site(std::size_t stepsPerSecond = 600) : fleet(3, {4, 4}, AuditTuning(), stepsPerSecond) {
     for (const std::string& name : fleet.names()) relays[name];
   }
   void start() {
     for (const std::string& name : fleet.names()) begin(name, true);
   }
-  void begin(const std::string& name, bool fresh) {
+  void begin(const std::string& name, bool restart) {
     const Relay& r = relays[name];
     EndpointTable set;
     std::vector<EndpointRecord> endpoints;
@@ -65,34 +65,36 @@
     std::vector<std::unique_ptr<CaseFamily>> families;
     families.push_back(std::make_unique<ModuleCases>(r.settings, set.all(), r.make));
     const auto cases = std::make_shared<CaseSet>(version.digest(), std::move(families));
-    if (fresh)
+    if (restart)
       fleet.start(name, version, r.rev, cases);
     else
-      fleet.become(name, version, r.rev, cases);
-    fleet.at(name).playWindowsWith(r.settings, r.make);
+      fleet.setRules(name, version, r.rev, cases);
+    fleet.at(name).enableWindowReplay(r.settings, r.make);
   }
-  // n3 differs, n1 and n2 know, and say by which action.
-  void named() {
+  // n1 and n2 report that n3 diverges, and with which action.
+  void checkDivergenceReports() {
     for (const char* by : {"n1", "n2"}) {
-      const auto* said = fleet.find(AuditReport::Kind::kDiffer, by, "n3");
-      REQUIRE(said);
-      MESSAGE(std::string(by) << " after " << said->atMs / 1000 << " s: case " << said->report.number
-                              << " step " << said->report.step << ", " << said->report.said.event
-                              << " | here " << said->report.said.here << " | there "
-                              << said->report.said.there);
-      CHECK(said->report.family == "module");
-      CHECK(said->report.said.event.find("at ") == 0);
-      CHECK(said->report.said.here != said->report.said.there);
-      CHECK(fleet.at(by).verdict(fleet.nowMs, "n3") == AuditVerdict::kDiffer);
-      CHECK_FALSE(fleet.at(by).differsFromAllOthers(fleet.nowMs));
+      const auto* divergence = fleet.find(AuditReport::Kind::kDiverged, by, "n3");
+      REQUIRE(divergence);
+      MESSAGE(std::string(by) << " after " << divergence->atMs / 1000 << " s: case "
+                              << divergence->report.number << " step " << divergence->report.step << ", "
+                              << divergence->report.stepDifference.event << " | here "
+                              << divergence->report.stepDifference.here << " | there "
+                              << divergence->report.stepDifference.there);
+      CHECK(divergence->report.family == "module");
+      CHECK(divergence->report.stepDifference.event.find("at ") == 0);
+      CHECK(divergence->report.stepDifference.here != divergence->report.stepDifference.there);
+      CHECK(fleet.at(by).verdict(fleet.nowMs, "n3") == AuditVerdict::kDiverged);
+      CHECK_FALSE(fleet.at(by).divergesFromAllOthers(fleet.nowMs));
     }
     CHECK(fleet.at("n1").verdict(fleet.nowMs, "n2") == AuditVerdict::kAgree);
-    CHECK(fleet.at("n3").differsFromAllOthers(fleet.nowMs));
-    CHECK(fleet.count(AuditReport::Kind::kDiffer) == 4);  // each pair once a side, however long it lasts
+    CHECK(fleet.at("n3").divergesFromAllOthers(fleet.nowMs));
+    // Once for each side of a pair, however long it lasts.
+    CHECK(fleet.count(AuditReport::Kind::kDiverged) == 4);
   }
-  // Nothing compared, and after its time n3 is told of as the late one.
-  void toldLate(RulesPart part, OlderVersion older) {
-    CHECK_FALSE(fleet.find(AuditReport::Kind::kDiffer));
+  // Nothing is compared, and n3 is reported as late after the time limit.
+  void checkLateReports(RulesPart part, OlderVersion older) {
+    CHECK_FALSE(fleet.find(AuditReport::Kind::kDiverged));
     for (const char* by : {"n1", "n2"}) {
       const auto* first = fleet.find(AuditReport::Kind::kOtherVersion, by, "n3");
       REQUIRE(first);
@@ -102,9 +104,9 @@
       MESSAGE(std::string(by) << ": other after " << first->atMs / 1000 << " s, late after "
                               << late->atMs / 1000 << " s");
       CHECK(late->report.part == part);
-      CHECK(late->report.forMs >= AuditTuning().lateMs);
+      CHECK(late->report.forMs >= AuditTuning().lateVersionMs);
       CHECK(late->report.older == older);
-      CHECK(fleet.at(by).differing("n3") == part);
+      CHECK(fleet.at(by).differingPart("n3") == part);
       CHECK(fleet.at(by).verdict(fleet.nowMs, "n3") == AuditVerdict::kNotKnown);
     }
     CHECK_FALSE(fleet.find(AuditReport::Kind::kLateVersion, "n1", "n2"));
@@ -122,7 +124,7 @@
   site.fleet.seconds(600);
   CHECK(site.fleet.all(AuditVerdict::kAgree));
   CHECK(site.fleet.count(AuditReport::Kind::kAgree) == 6);
-  CHECK(site.fleet.said.size() == 6);
+  CHECK(site.fleet.reports.size() == 6);
   CHECK(site.fleet.sent <= 6 * (600 / 27 + 1));
   CHECK(site.fleet.bytes == 165 * site.fleet.sent);
 }
@@ -130,31 +132,31 @@
 TEST_CASE("a constant of the module that was changed") {
   Site site;
   site.relays["n3"].make = [](const Settings& s) {
-    return std::unique_ptr<PlayedModule>(auditVariant_constant(s));
+    return std::unique_ptr<DecisionModule>(auditVariant_constant(s));
   };
   site.start();
   site.fleet.seconds(400);
-  site.named();
+  site.checkDivergenceReports();
 }
 
 TEST_CASE("a build with other floating-point rules") {
   Site site;
   site.relays["n3"].make = [](const Settings& s) {
-    return std::unique_ptr<PlayedModule>(auditVariant_floats(s));
+    return std::unique_ptr<DecisionModule>(auditVariant_floats(s));
   };
   site.start();
   site.fleet.seconds(400);
-  site.named();
+  site.checkDivergenceReports();
 }
 
-// The module takes equal endpoints in the order in which they were named to it: relays that were told in
-// other orders decide otherwise, though their lists are the same.
+// The module uses equal endpoints in the order in which it received them, so relays that received them in
+// different orders diverge although their lists are equal.
 TEST_CASE("another order of equal endpoints") {
   Site site;
-  site.relays["n3"].make = [](const Settings& s) { return std::make_unique<OtherOrder>(s); };
+  site.relays["n3"].make = [](const Settings& s) { return std::make_unique<ReversedEndpoints>(s); };
   site.start();
   site.fleet.seconds(400);
-  site.named();
+  site.checkDivergenceReports();
 }
 
 TEST_CASE("another program, as its stamp says it") {
@@ -162,7 +164,7 @@
   site.relays["n3"].stamp = "another";
   site.start();
   site.fleet.seconds(800);
-  site.toldLate(RulesPart::kProgram, OlderVersion::kNotKnown);
+  site.checkLateReports(RulesPart::kProgram, OlderVersion::kNotKnown);
 }
 
 TEST_CASE("one digit of the settings") {
@@ -170,7 +172,7 @@
   site.relays["n3"].settings.classes[2].latencyObjectiveMs = 2001;
   site.start();
   site.fleet.seconds(800);
-  site.toldLate(RulesPart::kSettings, OlderVersion::kNotKnown);
+  site.checkLateReports(RulesPart::kSettings, OlderVersion::kNotKnown);
 }
 
 TEST_CASE("one relay that missed the operator's change") {
@@ -183,7 +185,7 @@
     site.begin(name, false);
   }
   site.fleet.seconds(800);
-  site.toldLate(RulesPart::kRules, OlderVersion::kThere);
+  site.checkLateReports(RulesPart::kRules, OlderVersion::kThere);
 }
 
 TEST_CASE("a list that is a rev behind for good, while it goes on changing") {
@@ -196,35 +198,35 @@
     }
     site.fleet.seconds(45);
   }
-  site.toldLate(RulesPart::kList, OlderVersion::kThere);
+  site.checkLateReports(RulesPart::kList, OlderVersion::kThere);
 }
 
 TEST_CASE("real traffic that another relay decides otherwise on") {
   Site site;
   site.relays["n3"].make = [](const Settings& s) {
-    return std::unique_ptr<PlayedModule>(auditVariant_constant(s));
+    return std::unique_ptr<DecisionModule>(auditVariant_constant(s));
   };
   site.start();
   site.fleet.seconds(2);
-  Recorder recorder(site.relays["n1"].settings, ownModule);
+  Recorder recorder(site.relays["n1"].settings, makeOwnModule);
   recorder.begin(0, {ListUpdateKind::kSnapshot, {{"e0", 0, 0, 1, EndpointState::kRunning, 9}}});
   RequestEvent e;
   e.id = "m1";
   e.destination = 1;
-  e.deadlineMs = 4000;  // so that what was changed bounds its call
+  e.deadlineMs = 4000;  // short enough that the changed constant determines the call's timeout
   recorder.feed(10, {e});
   const std::string window = recorder.take();
-  for (int i = 0; i < 2; ++i) {  // to each of the others in turn
-    Audit::Out out;
-    REQUIRE(site.fleet.at("n1").offer(window, out));
-    site.fleet.takeUp("n1", out);
+  for (int i = 0; i < 2; ++i) {  // to each peer in turn
+    ConsistencyChecker::Out out;
+    REQUIRE(site.fleet.at("n1").offerWindow(window, out));
+    site.fleet.deliver("n1", out);
     site.fleet.seconds(60);
   }
-  const auto* said = site.fleet.find(AuditReport::Kind::kDiffer, "n3", "n1", "traffic");
-  REQUIRE(said);
-  CHECK(said->report.step == 1);
-  CHECK(said->report.said.event.find("message m1") != std::string::npos);
-  CHECK(said->report.said.here.find("send m1 to e0") == 0);
+  const auto* divergence = site.fleet.find(AuditReport::Kind::kDiverged, "n3", "n1", "traffic");
+  REQUIRE(divergence);
+  CHECK(divergence->report.step == 1);
+  CHECK(divergence->report.stepDifference.event.find("request m1") != std::string::npos);
+  CHECK(divergence->report.stepDifference.here.find("send m1 to e0") == 0);
   CHECK(site.fleet.at("n2").counters().windows == 1);
-  CHECK_FALSE(site.fleet.find(AuditReport::Kind::kDiffer, "n2", "n1"));
+  CHECK_FALSE(site.fleet.find(AuditReport::Kind::kDiverged, "n2", "n1"));
 }
--- a/tests/audit_processes_test.cpp
+++ b/tests/audit_processes_test.cpp
@@ -1,5 +1,5 @@
-// The real program: three of them audit each other. Alike they agree; one with another digit in its settings
-// is named, and what differs.
+// Three real processes check each other. With equal settings they agree; one with a different settings value
+// is reported together with the part that differs.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -20,20 +20,20 @@
 using namespace myrtleloft::lab;
 namespace fs = std::filesystem;
 
-// For what waits for the audit: since a step of it was last played. How long its steps take all together is
-// the machine's: each relay gives them 2% of a core.
-constexpr int kPatienceMs = 120000;
+// Timeout since the last step of the audit. The total time of all steps depends on the machine, as each relay
+// gives them 2% of a core.
+constexpr int kProgressTimeoutMs = 120000;
 
-const std::string kTakenAt = "are taken at ";
-const std::string kSteps = "audit-steps=";
+const std::string kListeningText = "are taken at ";
+const std::string kStepsCounter = "audit-steps=";
 
-struct Place {
-  Place() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     std::string name = (fs::temp_directory_path() / "audit-XXXXXX").string();
     REQUIRE(::mkdtemp(name.data()));
     folder = name;
   }
-  ~Place() { fs::remove_all(folder); }
+  ~TemporaryFolder() { fs::remove_all(folder); }
   std::string folder;
 };
 
@@ -41,7 +41,7 @@
   Member(Hub& hub, const std::string& folder, const std::string& relay, std::size_t number,
          const std::string& settings)
       : name(relay), file(folder + "/" + relay + "/operator.toml") {
-    std::string own = settings;  // what is each relay's own differs
+    std::string own = settings;  // with the instance index of this relay
     replaceAll(own, "\"me\":0", "\"me\":" + std::to_string(number));
     const std::string config = R"({"name":")" + name + R"(","seed":")" + std::to_string(number) +
                                R"(","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":)" + own +
@@ -53,32 +53,33 @@
     std::ofstream(file) << "[fleet]\nname = \"vina\"\nlisten = \"" << listen << "\"\npeers = [" << peers
                         << "]\n[fleet.audit]\nevery_s = 1\n";
   }
-  bool said(const std::string& words) const { return program->log().find(words) != std::string::npos; }
+  bool logged(const std::string& text) const { return program->log().find(text) != std::string::npos; }
 
   std::string name, file, address;
   std::unique_ptr<Program> program;
 };
 
-struct Three {
-  // In n3's settings, this in place of that.
-  Three(const std::string& what, const std::string& with) {
+struct ThreeRelays {
+  // Replaces `original` by `replacement` in the settings of n3.
+  ThreeRelays(const std::string& original, const std::string& replacement) {
     for (std::size_t i = 0; i < 3; ++i) {
       std::string settings = kSiteSettings;
       replaceAll(settings, "\"balancers\":1", "\"balancers\":3");
-      if (i == 2 && !what.empty()) replaceAll(settings, what, with);
-      all.push_back(std::make_unique<Member>(hub, place.folder, "n" + std::to_string(i + 1), i, settings));
+      if (i == 2 && !original.empty()) replaceAll(settings, original, replacement);
+      all.push_back(
+          std::make_unique<Member>(hub, temporary.folder, "n" + std::to_string(i + 1), i, settings));
       Member& member = *all.back();
       member.program->start();
       const std::string& log = member.program->log();
       std::size_t from = std::string::npos, end = std::string::npos;
       REQUIRE(hub.run(
           [&] {
-            from = log.find(kTakenAt);
+            from = log.find(kListeningText);
             end = log.find('\n', from);
             return member.program->ready() && from != std::string::npos && end != std::string::npos;
           },
-          kPatienceMs));
-      from += kTakenAt.size();
+          kProgressTimeoutMs));
+      from += kListeningText.size();
       member.address = log.substr(from, end - from);
     }
     for (const auto& member : all) {
@@ -89,17 +90,17 @@
       member->program->signal(SIGHUP);
     }
   }
-  bool come(const std::string& by, const std::string& words) {
+  bool waitForLog(const std::string& by, const std::string& text) {
     Member& member = *all[static_cast<std::size_t>(by[1] - '1')];
-    for (std::uint64_t before = stepsPlayed();;) {
-      if (hub.run([&] { return member.said(words); }, kPatienceMs)) return true;
-      const std::uint64_t now = stepsPlayed();
+    for (std::uint64_t before = playedSteps();;) {
+      if (hub.run([&] { return member.logged(text); }, kProgressTimeoutMs)) return true;
+      const std::uint64_t now = playedSteps();
       if (now == before) return false;
       before = now;
     }
   }
-  // By all of them, as they say themselves.
-  std::uint64_t stepsPlayed() {
+  // Sum of the step counters in the logs of all relays.
+  std::uint64_t playedSteps() {
     std::uint64_t sum = 0;
     for (const auto& member : all) {
       const std::size_t from = member->program->log().size();
@@ -108,21 +109,21 @@
       REQUIRE(hub.run(
           [&] {
             const std::string& log = member->program->log();
-            at = log.find(kSteps, from);
+            at = log.find(kStepsCounter, from);
             return at != std::string::npos && log.find('\n', at) != std::string::npos;
           },
-          kPatienceMs));
-      sum += std::stoull(member->program->log().substr(at + kSteps.size()));
+          kProgressTimeoutMs));
+      sum += std::stoull(member->program->log().substr(at + kStepsCounter.size()));
     }
     return sum;
   }
-  bool said(const std::string& words) const {
+  bool logged(const std::string& text) const {
     for (const auto& member : all)
-      if (member->said(words)) return true;
+      if (member->logged(text)) return true;
     return false;
   }
 
-  Place place;
+  TemporaryFolder temporary;
   Hub hub;
   std::vector<std::unique_ptr<Member>> all;
 };
@@ -130,22 +131,23 @@
 }  // namespace
 
 TEST_CASE("three alike agree") {
-  Three three("", "");
+  ThreeRelays relays("", "");
   for (const char* by : {"n1", "n2", "n3"})
     for (const std::string other : {"n1", "n2", "n3"})
-      if (by != other) CHECK(three.come(by, "audit: " + other + " decides as this relay"));
-  three.all[0]->program->signal(SIGUSR1);
-  CHECK(three.come("n1", "audit-agree=2 audit-differ=0"));
-  CHECK_FALSE(three.said("decides otherwise"));
-  CHECK_FALSE(three.said("has another version"));
-  CHECK_FALSE(three.said("decided otherwise"));
+      if (by != other) CHECK(relays.waitForLog(by, "audit: " + other + " agrees with this relay"));
+  relays.all[0]->program->signal(SIGUSR1);
+  CHECK(relays.waitForLog("n1", "audit-agree=2 audit-differ=0"));
+  CHECK_FALSE(relays.logged("diverges from this relay"));
+  CHECK_FALSE(relays.logged("has had a different version"));
+  CHECK_FALSE(relays.logged("nondeterministic decision"));
 }
 
 TEST_CASE("one digit of one relay's settings is named as such") {
-  Three three("\"memorySpanMs\":15000.0", "\"memorySpanMs\":15001.0");
-  for (const char* by : {"n1", "n2"}) CHECK(three.come(by, "audit: n3 has another version of the settings"));
-  CHECK(three.come("n3", "audit: n1 has another version of the settings"));
-  CHECK(three.come("n1", "audit: n2 decides as this relay"));
-  CHECK_FALSE(three.said("audit: n3 decides as this relay"));
-  CHECK_FALSE(three.said("decides otherwise"));
+  ThreeRelays relays("\"memorySpanMs\":15000.0", "\"memorySpanMs\":15001.0");
+  for (const char* by : {"n1", "n2"})
+    CHECK(relays.waitForLog(by, "audit: n3 has had a different version of the settings"));
+  CHECK(relays.waitForLog("n3", "audit: n1 has had a different version of the settings"));
+  CHECK(relays.waitForLog("n1", "audit: n2 agrees with this relay"));
+  CHECK_FALSE(relays.logged("audit: n3 agrees with this relay"));
+  CHECK_FALSE(relays.logged("diverges from this relay"));
 }
--- a/tests/audit_rules_test.cpp
+++ b/tests/audit_rules_test.cpp
@@ -1,4 +1,4 @@
-// The version of the rules says which part differs, and what is each relay's own is in none.
+// The version of the rules shows which part differs and excludes values that are specific to one relay.
 #include <doctest/doctest.h>
 
 #include "audit/rules_version.h"
@@ -27,23 +27,23 @@
   EndpointTable list = listOf({endpoint("a"), endpoint("b", 1)});
   RulesVersion version() const { return rulesVersion(stamp, settings, rules, list.all()); }
 };
-std::optional<RulesPart> differing(const Site& other) {
+std::optional<RulesPart> differingPart(const Site& other) {
   return firstDifference(Site().version(), other.version());
 }
 
 }  // namespace
 
 TEST_CASE("each part is told, the program before all that may follow from it") {
-  CHECK(differing(Site()) == std::nullopt);
+  CHECK(differingPart(Site()) == std::nullopt);
   Site other;
   other.list = listOf({endpoint("a"), endpoint("b", 1, 4.000000001)});
-  CHECK(differing(other) == RulesPart::kList);
+  CHECK(differingPart(other) == RulesPart::kList);
   other.rules.endpointList.guardPercent = 1;
-  CHECK(differing(other) == RulesPart::kRules);
+  CHECK(differingPart(other) == RulesPart::kRules);
   other.settings.classes[1].idempotencyWindowMs += 1;
-  CHECK(differing(other) == RulesPart::kSettings);
+  CHECK(differingPart(other) == RulesPart::kSettings);
   other.stamp = "another";
-  CHECK(differing(other) == RulesPart::kProgram);
+  CHECK(differingPart(other) == RulesPart::kProgram);
   CHECK(nameOf(RulesPart::kProgram) == std::string("program"));
   CHECK(nameOf(RulesPart::kList) == std::string("list"));
 }
@@ -56,10 +56,10 @@
   other.rules.journal.segmentBytes = 4096;
   other.rules.endpointList.directories = {"10.0.0.5:8500"};
   other.rules.log.level = 3;
-  std::vector<EndpointRecord> endpoints = {endpoint("b", 1), endpoint("a")};  // in another order
+  std::vector<EndpointRecord> endpoints = {endpoint("b", 1), endpoint("a")};  // in a different order
   endpoints[0].address = *parseAddress("10.9.9.9:81");
   other.list = listOf(endpoints);
-  CHECK(differing(other) == std::nullopt);
+  CHECK(differingPart(other) == std::nullopt);
 }
 
 TEST_CASE("the order in which a file names things is no rule") {
@@ -82,7 +82,7 @@
   moved.info.destination = 7;
   fresh.list = listOf({moved, endpoint("b", 1)});
   old.list.apply({2, true, {moved, endpoint("b", 1)}}, ListUpdateKind::kSnapshot, 2000);
-  REQUIRE(old.list.findByUid("a")->info.endpoint != "a");  // the module knows it by another name there
+  REQUIRE(old.list.findByUid("a")->info.endpoint != "a");  // the module sees it under a suffixed name
   CHECK(fresh.version() == old.version());
 }
 
--- a/tests/audit_variant.cpp
+++ b/tests/audit_variant.cpp
@@ -1,10 +1,11 @@
-// The one name that a decision module built otherwise shows: cmake/audit_tests.cmake names it and the class.
+// The only exported function of a differently built decision module; cmake/audit_tests.cmake sets its name
+// and that of the Dispatcher class.
 #include "audit/module_cases.h"
 
 namespace myrtleloft {
 namespace {
 
-class Variant : public PlayedModule {
+class Variant : public DecisionModule {
  public:
   explicit Variant(const Settings& settings) : module_(settings) {}
   std::vector<Action> onBatch(double nowMs, const std::vector<Event>& events) override {
@@ -17,6 +18,6 @@
 
 }  // namespace
 
-extern "C" PlayedModule* VARIANT(const Settings& settings) { return new Variant(settings); }
+extern "C" DecisionModule* VARIANT(const Settings& settings) { return new Variant(settings); }
 
 }  // namespace myrtleloft
