--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -174,7 +174,7 @@
     report.version = shortText(own_.digest());
     report.family = "traffic";
     report.step = peerWindow_->play.step();
-    report.stepDifference = moduleDifference(*local, peerWindow_->play.remote());
+    report.difference = moduleDifference(*local, peerWindow_->play.remote());
     ++counters_.diverged;
     peer->second.recordDivergence(own_);
   }
--- a/src/audit/audit_driver.cpp
+++ b/src/audit/audit_driver.cpp
@@ -120,11 +120,9 @@
 
 void AuditDriver::logReport(const AuditReport& report) {
   using Kind = AuditReport::Kind;
-  const StepDifference& steps = report.stepDifference;
   const Log& log = parts_.log;
   const auto seconds = static_cast<std::int64_t>(report.forMs / 1000);
-  const std::string location =
-      report.family + " " + std::to_string(report.number) + " step " + std::to_string(report.step);
+  const std::string caseName = report.family + " " + std::to_string(report.number);
   switch (report.kind) {
     case Kind::kAgree:
       log.write(LogLevel::kInfo, "audit.agree",
@@ -134,14 +132,15 @@
     case Kind::kDiverged:
       log.write(LogLevel::kError, "audit.differ",
                 "audit: " + report.peer + " diverges from this relay, version " + report.version + ", case " +
-                    location + ", input " + steps.event + ": here " + steps.here + ", there " + steps.there,
+                    caseName + " step " + std::to_string(report.step) + ", input " + report.difference.event +
+                    ": here " + report.difference.here + ", there " + report.difference.there,
                 {{"peer", report.peer},
                  {"version", report.version},
-                 {"case", report.family + " " + std::to_string(report.number)},
+                 {"case", caseName},
                  {"step", report.step},
-                 {"told", steps.event},
-                 {"here", steps.here},
-                 {"there", steps.there}});
+                 {"told", report.difference.event},
+                 {"here", report.difference.here},
+                 {"there", report.difference.there}});
       return;
     case Kind::kOtherVersion:
     case Kind::kLateVersion: {
@@ -158,9 +157,8 @@
     }
     case Kind::kNondeterminism:
       log.write(LogLevel::kError, "audit.unsteady",
-                "audit: nondeterministic decision: a replay on this relay gave a different result for case " +
-                    report.family + " " + std::to_string(report.number),
-                {{"version", report.version}, {"case", report.family + " " + std::to_string(report.number)}});
+                "audit: nondeterministic decision: a replay here gave a different result for " + caseName,
+                {{"version", report.version}, {"case", caseName}});
   }
 }
 
--- a/src/audit/audit_report.h
+++ b/src/audit/audit_report.h
@@ -21,7 +21,7 @@
 struct AuditReport {
   enum class Kind : std::uint8_t {
     kAgree,
-    kDiverged,       // sets all fields below up to `stepDifference`
+    kDiverged,       // sets all fields below up to `difference`
     kOtherVersion,   // the versions have differed for at least two rounds; nothing is compared
     kLateVersion,    // the versions have differed for at least AuditTuning::lateVersionMs
     kNondeterminism  // a replay of a case on this relay gave a different result; `peer` is empty
@@ -30,7 +30,7 @@
   std::string peer, version;
   std::string family;  // "traffic" for a window of real events
   std::size_t number = 0, step = 0;
-  StepDifference stepDifference;
+  StepDifference difference;
   RulesPart part = RulesPart::kProgram;  // the first part that differs
   double forMs = 0;
   OlderVersion older = OlderVersion::kNotKnown;
--- a/src/audit/comparison.cpp
+++ b/src/audit/comparison.cpp
@@ -179,7 +179,7 @@
   report.family = location.family->name();
   report.number = location.index;
   report.step = walk_->node.step;
-  report.stepDifference = location.family->difference(walk_->local, *walk_->remote);
+  report.difference = location.family->difference(walk_->local, *walk_->remote);
   ++counters.diverged;
   divergedVersion_ = own.digest();
   walk_.reset();
--- a/tests/audit_planted_test.cpp
+++ b/tests/audit_planted_test.cpp
@@ -78,12 +78,12 @@
       REQUIRE(divergence);
       MESSAGE(std::string(by) << " after " << divergence->atMs / 1000 << " s: case "
                               << divergence->report.number << " step " << divergence->report.step << ", "
-                              << divergence->report.stepDifference.event << " | here "
-                              << divergence->report.stepDifference.here << " | there "
-                              << divergence->report.stepDifference.there);
+                              << divergence->report.difference.event << " | here "
+                              << divergence->report.difference.here << " | there "
+                              << divergence->report.difference.there);
       CHECK(divergence->report.family == "module");
-      CHECK(divergence->report.stepDifference.event.find("at ") == 0);
-      CHECK(divergence->report.stepDifference.here != divergence->report.stepDifference.there);
+      CHECK(divergence->report.difference.event.find("at ") == 0);
+      CHECK(divergence->report.difference.here != divergence->report.difference.there);
       CHECK(fleet.at(by).verdict(fleet.nowMs, "n3") == AuditVerdict::kDiverged);
       CHECK_FALSE(fleet.at(by).divergesFromAllOthers(fleet.nowMs));
     }
@@ -225,8 +225,8 @@
   const auto* divergence = site.fleet.find(AuditReport::Kind::kDiverged, "n3", "n1", "traffic");
   REQUIRE(divergence);
   CHECK(divergence->report.step == 1);
-  CHECK(divergence->report.stepDifference.event.find("request m1") != std::string::npos);
-  CHECK(divergence->report.stepDifference.here.find("send m1 to e0") == 0);
+  CHECK(divergence->report.difference.event.find("request m1") != std::string::npos);
+  CHECK(divergence->report.difference.here.find("send m1 to e0") == 0);
   CHECK(site.fleet.at("n2").counters().windows == 1);
   CHECK_FALSE(site.fleet.find(AuditReport::Kind::kDiverged, "n2", "n1"));
 }
